--- a/src/gateway/eventstreamfilter.h
+++ b/src/gateway/eventstreamfilter.h
@@ -23,7 +23,7 @@
   //! Id of the last event passed on, as the upstream wrote it.
   const std::optional<std::string>& LastId() const { return m_lastId; }
   //! Number of events passed on.
-  std::size_t Events() const { return m_events; }
+  std::size_t EventCount() const { return m_eventCount; }
 
 private:
   bool HandleEvent(std::string_view aEvent, std::string& aOut);
@@ -32,7 +32,7 @@
   std::optional<std::string> m_lastId;
   std::optional<long long> m_lastNumericId;
   bool m_resumed = false;
-  std::size_t m_events = 0;
+  std::size_t m_eventCount = 0;
 };
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -117,7 +117,7 @@
         HandleCheckResult(aUpstream, aResult);
       })
   , m_connections(aLoop, m_limits, *this)
-  , m_newsLog(aIncarnation)
+  , m_storeChangeLog(aIncarnation)
   , m_membership(aSettings.peerListen,
                  base::HashName(aSettings.zone),
                  SeedsOf(aSettings))
@@ -134,11 +134,11 @@
 {
   UpdateSourceOptions(m_membership.Plan(m_startedAt), m_startedAt);
   OpenSource();
-  m_newsServer = std::make_unique<NewsServer>(
+  m_storeUpdateServer = std::make_unique<NewsServer>(
     m_loop,
     m_settings.controlListen,
-    m_newsLog,
-    [this] { return m_loop.Now() - m_newsProvenAt; },
+    m_storeChangeLog,
+    [this] { return m_loop.Now() - m_storeProvenAt; },
     [this] { return IsReadingStore(); },
     m_metrics);
   m_peerLink = std::make_unique<PeerLink>(
@@ -207,9 +207,9 @@
   aConnection.context = nullptr;
   m_metrics.Count("bad_requests_total");
   LogLine("bad-request").Add("why", http::kFaultNames.NameOf(aFault)).Warn();
-  const OwnAnswer answer{ RefusalForFault(aFault), Verdict::NotRun, {}, "" };
+  const OwnAnswer reply{ RefusalForFault(aFault), Verdict::NotRun, {}, "" };
   aConnection.BeginAnswer(
-    m_dialects.callers.EncodeOwn(answer), http::Framing::Length, 0);
+    m_dialects.callers.EncodeOwn(reply), http::Framing::Length, 0);
   aConnection.EndAnswer();
 }
 
@@ -316,9 +316,9 @@
     return;
   }
   m_stopped = true;
-  m_requestsCut = m_exchanges.size();
+  m_requestsAborted = m_exchanges.size();
   LogLine("stopped")
-    .Add("requests_cut", static_cast<std::uint64_t>(m_requestsCut))
+    .Add("requests_cut", static_cast<std::uint64_t>(m_requestsAborted))
     .Info();
   m_loop.Stop();
 }
@@ -376,7 +376,7 @@
   }
   CheckUpstreams(now);
   TickSource(now);
-  m_newsServer->Tick(now);
+  m_storeUpdateServer->Tick(now);
   ContinueStop(now);
   UpdateListenerPause();
   const auto timeOfDay = TimeOfDay();
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -71,10 +71,12 @@
   //! Begins a graceful stop. Stops the event loop once all connections have
   //! closed or the stop grace period is nearly over.
   void BeginStop();
+  //! Whether the router has a configuration and the list of upstreams, its API
+  //! keys are recent enough, and it is not stopping.
   bool IsReady() const;
   bool IsStopped() const { return m_stopped; }
-  //! Number of requests that were still running when the loop was stopped.
-  std::size_t Cut() const { return m_requestsCut; }
+  //! Number of requests that the stop aborted.
+  std::size_t Cut() const { return m_requestsAborted; }
 
   void OnRequest(http::ServerConnection& aConnection,
                  http::RequestHead&& aHead,
@@ -144,7 +146,7 @@
   base::CallerLimits m_limits;
   http::ConnectionSet m_connections;
   std::map<Exchange*, std::unique_ptr<Exchange>> m_exchanges;
-  fleet::NewsLog m_newsLog;
+  fleet::NewsLog m_storeChangeLog;
   //! When this router last got a response from the store itself.
   base::TimePoint m_storeAnsweredAt{ base::TimePoint::min() / 2 };
   bool m_upstreamListChanged =
@@ -154,14 +156,14 @@
   //! Version of the configuration that the current source sent last.
   std::optional<std::uint64_t> m_storedConfigVersion;
   fleet::KnownReader m_knownReader;
-  //! The store was last known to hold the content of m_newsLog at this time.
-  //! API keys may have been confirmed later, by reports of other routers, which
-  //! say nothing about upstreams.
-  base::TimePoint m_newsProvenAt{ base::TimePoint::min() / 2 };
+  //! The store was last known to hold the content of m_storeChangeLog at this
+  //! time. API keys may have been confirmed later, by reports of other routers,
+  //! which say nothing about upstreams.
+  base::TimePoint m_storeProvenAt{ base::TimePoint::min() / 2 };
   std::optional<fleet::NewsSource>
-    m_openSource; //!< the source that m_newsSource follows
-  std::unique_ptr<INewsSource> m_newsSource;
-  std::unique_ptr<NewsServer> m_newsServer;
+    m_openSource; //!< the source that m_storeUpdateSource follows
+  std::unique_ptr<INewsSource> m_storeUpdateSource;
+  std::unique_ptr<NewsServer> m_storeUpdateServer;
   fleet::Membership m_membership;
   std::unique_ptr<PeerLink> m_peerLink;
   fleet::ExchangeClock m_exchangeClock;
@@ -170,9 +172,9 @@
   std::unique_ptr<ProbeServer> m_probeServer;
   std::unique_ptr<http::Listener> m_listener;
   std::optional<base::TimePoint> m_stopBeganAt;
-  bool m_loggedReady = false; //!< as logged last
+  bool m_loggedReady = false; //!< as last logged
   bool m_stopped = false;
-  std::size_t m_requestsCut = 0;
+  std::size_t m_requestsAborted = 0;
   CallerIntake m_intake; //!< counts since m_intakeReportedAt
   base::TimePoint m_intakeReportedAt{};
   base::TimePoint m_startedAt{};
--- a/src/gateway/inewssource.h
+++ b/src/gateway/inewssource.h
@@ -21,6 +21,7 @@
   virtual void OnStoredConfig(const std::string& aBytes) = 0;
   //! All upstreams that are listed now; replaces earlier ones.
   virtual void OnListed(const std::vector<fleet::UpstreamEntry>& aEntries) = 0;
+  //! An upstream's entry is new or has changed.
   virtual void OnUpstream(const fleet::UpstreamEntry& aEntry) = 0;
   virtual void OnRemoved(const std::string& aId) = 0;
   //! All evacuations that are in force now; replaces earlier ones.
--- a/src/gateway/internal/eventstreamfilter.cpp
+++ b/src/gateway/internal/eventstreamfilter.cpp
@@ -111,7 +111,7 @@
     m_lastId = std::string(*id);
     m_resumed = false;
   }
-  m_events++;
+  m_eventCount++;
   aOut += aEvent;
   return true;
 }
--- a/src/gateway/internal/exchange.cpp
+++ b/src/gateway/internal/exchange.cpp
@@ -32,7 +32,7 @@
 //! Time for an upstream to accept a connection before the attempt fails: some
 //! hundred round trips within a region.
 constexpr base::Duration kConnectTimeout = 300ms;
-constexpr int kServerError = 500;
+constexpr int kMinServerErrorStatus = 500;
 
 }
 
@@ -68,7 +68,7 @@
 bool
 Exchange::IsStream() const
 {
-  return m_answer.isEventStream && m_answer.IsSuccess();
+  return m_response.isEventStream && m_response.IsSuccess();
 }
 
 http::IClientEvents::HeadVerdict
@@ -76,24 +76,24 @@
                        http::ResponseHead&& aHead)
 {
   m_mayHaveReachedUpstream = true;
-  auto answer = m_dependencies.upstreams.Decode(std::move(aHead));
-  const bool ranNothing = answer.notRun || answer.misdirected;
-  if (!answer.requestId.empty() && answer.requestId != m_request.id) {
+  auto response = m_dependencies.upstreams.Decode(std::move(aHead));
+  const bool ranNothing = response.notRun || response.misdirected;
+  if (!response.requestId.empty() && response.requestId != m_request.id) {
     m_dependencies.metrics.Count("foreign_answers_total");
     return HeadVerdict::Skip;
   }
-  const bool hasNoRequestId = answer.requestId.empty();
+  const bool hasNoRequestId = response.requestId.empty();
   if (hasNoRequestId && (!ranNothing || aConnection.requests > 1)) {
     return HeadVerdict::Drop;
   }
   const bool lacksSeal =
-    answer.IsSuccess() && (!answer.hasProof || answer.hasForeignCoding);
+    response.IsSuccess() && (!response.hasProof || response.hasForeignCoding);
   if (lacksSeal) {
     return HeadVerdict::Drop;
   }
-  m_answer = std::move(answer);
-  if (m_answer.keepAlive > base::Duration{}) {
-    aConnection.keepAlive = m_answer.keepAlive;
+  m_response = std::move(response);
+  if (m_response.keepAlive > base::Duration{}) {
+    aConnection.keepAlive = m_response.keepAlive;
   }
   return HeadVerdict::Take;
 }
@@ -102,7 +102,7 @@
 Exchange::OnAnswerBody(http::ClientConnection&, std::string_view aBytes)
 {
   m_bytesReceived += aBytes.size();
-  if (m_answer.notRun || m_answer.misdirected) {
+  if (m_response.notRun || m_response.misdirected) {
     return;
   }
   if (m_firstByteAt == base::TimePoint{}) {
@@ -132,7 +132,7 @@
 {
   m_dependencies.fleet.FirstToken(m_attempt, m_dependencies.loop.Now());
   std::string out;
-  if (!m_events.Consume(aBytes, out)) {
+  if (!m_streamFilter.Consume(aBytes, out)) {
     EndAttempt(AttemptEnd::Broken);
     DiscardUpstream();
     AttemptFailed(Verdict::MayHaveRun, "event id out of order");
@@ -163,7 +163,7 @@
     return;
   }
   m_headSent = true;
-  m_caller->BeginAnswer(m_dependencies.callers.EncodeHead(m_answer),
+  m_caller->BeginAnswer(m_dependencies.callers.EncodeHead(m_response),
                         Framing::Chunked);
 }
 
@@ -176,14 +176,14 @@
   } else {
     m_dependencies.pool.Discard(aConnection);
   }
-  if (m_answer.notRun || m_answer.misdirected) {
+  if (m_response.notRun || m_response.misdirected) {
     EndAttempt(AttemptEnd::Refused);
     AttemptFailed(Verdict::NotRun,
-                  m_answer.misdirected ? "address belongs to another upstream"
-                                       : "upstream did not run the request");
+                  m_response.misdirected ? "address belongs to another upstream"
+                                         : "upstream did not run the request");
     return;
   }
-  if (IsStream() && m_events.HasPartialEvent()) {
+  if (IsStream() && m_streamFilter.HasPartialEvent()) {
     EndAttempt(AttemptEnd::Broken);
     AttemptFailed(Verdict::MayHaveRun, "stream ended inside an event");
     return;
@@ -196,7 +196,7 @@
 void
 Exchange::HandleCompleteResponse()
 {
-  const bool isError = m_answer.status >= kServerError;
+  const bool isError = m_response.status >= kMinServerErrorStatus;
   EndAttempt(isError ? AttemptEnd::AnsweredFailure : AttemptEnd::Answered);
   const bool mayRetry = isError && m_route->MayRunAgain();
   if (m_headSent && !IsStream() && m_isBuffering) {
@@ -209,21 +209,21 @@
     AttemptFailed(Verdict::MayHaveRun, "upstream returned an error response");
     return;
   }
-  EndAnswer("");
+  FinishResponse("");
 }
 
 void
-Exchange::EndAnswer(const std::string& aWhy)
+Exchange::FinishResponse(const std::string& aWhy)
 {
   if (!m_headSent) {
     m_headSent = true;
-    m_caller->BeginAnswer(m_dependencies.callers.EncodeHead(m_answer),
+    m_caller->BeginAnswer(m_dependencies.callers.EncodeHead(m_response),
                           Framing::Length,
                           m_bufferedBody.size());
     m_caller->Write(m_bufferedBody);
   }
   m_caller->EndAnswer();
-  Finish("answered", m_answer.status, aWhy);
+  Finish("answered", m_response.status, aWhy);
 }
 
 void
@@ -291,13 +291,13 @@
     .Add("next", fleet::kAfterFailureNames.NameOf(next))
     .Info();
   if (next == fleet::AfterFailure::Retry) {
-    m_events.Resume();
+    m_streamFilter.Resume();
     if (PlaceRetry()) {
       return;
     }
   }
   if (m_hasErrorResponse && !m_headSent) {
-    EndAnswer(aWhy);
+    FinishResponse(aWhy);
     return;
   }
   if (m_headSent) {
@@ -315,7 +315,7 @@
                          Verdict aVerdict,
                          base::Duration aRetryAfter)
 {
-  const OwnAnswer answer{ aRefusal, aVerdict, aRetryAfter, m_request.id };
+  const OwnAnswer reply{ aRefusal, aVerdict, aRetryAfter, m_request.id };
   const bool closesConnection =
     aRefusal == Refusal::StaleConfig || aRefusal == Refusal::NoConfig ||
     aRefusal == Refusal::Draining || aRefusal == Refusal::BadRequest;
@@ -323,7 +323,7 @@
     m_caller->CloseAfterAnswer();
   }
   m_caller->BeginAnswer(
-    m_dependencies.callers.EncodeOwn(answer), Framing::Length, 0);
+    m_dependencies.callers.EncodeOwn(reply), Framing::Length, 0);
   m_caller->EndAnswer();
   Finish("answered-by-router",
          0,
@@ -335,7 +335,7 @@
 Exchange::AbortCaller(const std::string& aWhy)
 {
   auto* caller = m_caller;
-  Finish("cut", m_answer.status, aWhy);
+  Finish("cut", m_response.status, aWhy);
   caller->Abort();
 }
 
@@ -389,7 +389,7 @@
     .Add("upstream", m_upstreamId)
     .Add("first_ms", (aFirstByteAt - m_arrivedAt).count())
     .Add("total_ms", (m_dependencies.loop.Now() - m_arrivedAt).count())
-    .Add("events", static_cast<std::uint64_t>(m_events.Events()))
+    .Add("events", static_cast<std::uint64_t>(m_streamFilter.EventCount()))
     .Add("attempts", static_cast<std::uint64_t>(m_triedUpstreams.size()));
   if (!aWhy.empty()) {
     line.Add("why", aWhy);
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -97,7 +97,7 @@
 
   bool Decode(http::RequestHead&& aHead, std::string&& aBody);
   bool FindRoute();
-  bool CheckKey();
+  bool CheckApiKey();
   bool CheckRouterState();
   bool ApplyRoute();
 
@@ -113,7 +113,7 @@
   void RelayStreamBytes(std::string_view aBytes);
   void SendHead();
   void HandleCompleteResponse();
-  void EndAnswer(const std::string& aWhy);
+  void FinishResponse(const std::string& aWhy);
   void EndAttempt(fleet::AttemptEnd aEnd);
   void AttemptFailed(base::Verdict aVerdict, const std::string& aWhy);
   void SendLocalReply(Refusal aRefusal,
@@ -158,8 +158,8 @@
   bool m_mayHaveReachedUpstream =
     false; //!< an upstream may have received the request
 
-  UpstreamAnswer m_answer;
-  EventStreamFilter m_events;
+  UpstreamAnswer m_response;
+  EventStreamFilter m_streamFilter;
   std::string
     m_bufferedBody; //!< of a response that is buffered until it is complete
   bool m_isBuffering = true; //!< the response's body is still being buffered
--- a/src/gateway/internal/exchangefilters.cpp
+++ b/src/gateway/internal/exchangefilters.cpp
@@ -31,7 +31,7 @@
 Exchange::Start(http::RequestHead&& aHead, std::string&& aBody)
 {
   const bool admitted = Decode(std::move(aHead), std::move(aBody)) &&
-                        CheckRouterState() && FindRoute() && CheckKey() &&
+                        CheckRouterState() && FindRoute() && CheckApiKey() &&
                         ApplyRoute();
   if (admitted) {
     PlaceInitial();
@@ -91,7 +91,7 @@
 }
 
 bool
-Exchange::CheckKey()
+Exchange::CheckApiKey()
 {
   if (!m_config->needsKeys || m_route->isPublic) {
     return true;
--- a/src/gateway/internal/exchangeplacing.cpp
+++ b/src/gateway/internal/exchangeplacing.cpp
@@ -214,7 +214,7 @@
   m_upstreamId = aPlace.upstreamId;
   m_isSameZone = aPlace.sameZone;
   m_triedUpstreams.push_back(aPlace.upstream);
-  m_answer = UpstreamAnswer{};
+  m_response = UpstreamAnswer{};
   m_bufferedBody.clear();
   m_isBuffering = true;
   m_hasErrorResponse = false;
@@ -225,7 +225,7 @@
   context.timeLeft = TimeLeft(m_sentAt);
   context.copyFrom = aPlace.copyFrom;
   context.lastEventId =
-    m_events.LastId() ? m_events.LastId() : m_request.lastEventId;
+    m_streamFilter.LastId() ? m_streamFilter.LastId() : m_request.lastEventId;
   m_upstream =
     &m_dependencies.pool.Acquire(aPlace.upstream, aPlace.address, *this);
   auto bytes = m_dependencies.upstreams.Encode(m_request, context);
--- a/src/gateway/internal/gatewaynews.cpp
+++ b/src/gateway/internal/gatewaynews.cpp
@@ -185,8 +185,8 @@
   }
   view.sinceStart = aNow - m_startedAt;
   view.seedWait = m_settings.seedWait;
-  view.proofAge = std::min(aNow - m_newsProvenAt, view.sinceStart);
-  view.knownReader = m_knownReader.Better(m_newsProvenAt, aNow);
+  view.proofAge = std::min(aNow - m_storeProvenAt, view.sinceStart);
+  view.knownReader = m_knownReader.Better(m_storeProvenAt, aNow);
   auto options = fleet::MakeSourceOptions(view, aPlan);
   for (auto& source : options.order) {
     if (source.kind == fleet::SourceKind::Router) {
@@ -203,7 +203,7 @@
   if (!m_openSource || !(*m_openSource == m_sourcePolicy.Current())) {
     OpenSource();
   }
-  m_newsSource->Tick(aNow);
+  m_storeUpdateSource->Tick(aNow);
 }
 
 void
@@ -217,7 +217,7 @@
     .Add("address", source.address.Text())
     .Info();
   if (source.kind == fleet::SourceKind::Store) {
-    m_newsSource = std::make_unique<StoreFollower>(
+    m_storeUpdateSource = std::make_unique<StoreFollower>(
       m_loop,
       m_settings.store,
       m_dialects.store,
@@ -228,13 +228,13 @@
                                    : kMaxStoreBackoffLastResort);
     return;
   }
-  m_newsSource = std::make_unique<NewsFollower>(
+  m_storeUpdateSource = std::make_unique<NewsFollower>(
     m_loop,
     source.address,
     *this,
     [this] {
       return fleet::NewsAsk{
-        0, 0, m_fleet.ConfigVersion(), m_newsLog.Digest()
+        0, 0, m_fleet.ConfigVersion(), m_storeChangeLog.Digest()
       };
     },
     [this](base::Duration aProofAge) {
@@ -255,7 +255,7 @@
   m_upstreamListChanged = false;
   m_metrics.Count("upstream_list_follows_total");
   m_fleet.FollowUpstreams(m_loop.Now());
-  m_newsLog.SetUpstreams(m_fleet.Upstreams().Entries());
+  m_storeChangeLog.SetUpstreams(m_fleet.Upstreams().Entries());
 }
 
 //! Logs the changes of upstream entries and closes idle connections that they
@@ -282,7 +282,7 @@
     auto config = m_dialects.store.DecodeConfig(aBytes);
     m_storedConfigVersion = config->version;
     if (SetConfig(std::move(config))) {
-      m_newsLog.SetConfig(m_fleet.ConfigVersion(), aBytes);
+      m_storeChangeLog.SetConfig(m_fleet.ConfigVersion(), aBytes);
     }
   } catch (const base::Error& error) {
     m_metrics.Count("configs_refused_total");
@@ -356,8 +356,8 @@
   }
   m_upstreamListChanged = true;
   ApplyUpstreamList();
-  m_newsLog.SetEvacuations(m_fleet.Evacuated().InForce());
-  const auto proofAge = m_loop.Now() - m_newsProvenAt;
+  m_storeChangeLog.SetEvacuations(m_fleet.Evacuated().InForce());
+  const auto proofAge = m_loop.Now() - m_storeProvenAt;
   for (const auto& notice : aNotices) {
     const auto change = fleet::kZoneChangeNames.NameOf(notice.change);
     m_metrics.Count("zone_evacuations_total{change=\"" + std::string(change) +
@@ -394,7 +394,7 @@
     return;
   }
   m_fleet.ConfigFreshness().Proven(aAt);
-  m_newsProvenAt = std::max(m_newsProvenAt, aAt);
+  m_storeProvenAt = std::max(m_storeProvenAt, aAt);
   HandleZoneNotices(m_fleet.Evacuated().Proven(aAt));
   if (m_sourcePolicy.Current().kind == fleet::SourceKind::Store) {
     m_knownReader.Learn(m_settings.peerListen, aAt);
--- a/src/gateway/internal/gatewaypages.cpp
+++ b/src/gateway/internal/gatewaypages.cpp
@@ -16,8 +16,8 @@
   };
   set("running", static_cast<double>(m_exchanges.size()));
   set("callers", static_cast<double>(m_connections.Size()));
-  set("upstream_connections", static_cast<double>(m_pool.Open()));
-  set("upstream_connections_opened", static_cast<double>(m_pool.Opened()));
+  set("upstream_connections", static_cast<double>(m_pool.OpenCount()));
+  set("upstream_connections_opened", static_cast<double>(m_pool.TotalOpened()));
   set("routers_heard", static_cast<double>(m_fleet.Peers().Routers()));
   set("requests_suspected",
       static_cast<double>(m_fleet.Quarantined().Suspects()));
--- a/src/gateway/internal/newscodec.cpp
+++ b/src/gateway/internal/newscodec.cpp
@@ -15,18 +15,21 @@
 using Builder = flatbuffers::FlatBufferBuilder;
 
 flatbuffers::Offset<void>
-Put(Builder& aBuilder, const fleet::NewsAsk& aAsk)
+EncodeBody(Builder& aBuilder, const fleet::NewsAsk& aRequest)
 {
-  return fb::CreateAsk(
-           aBuilder, aAsk.life, aAsk.sequence, aAsk.configVersion, aAsk.digest)
+  return fb::CreateAsk(aBuilder,
+                       aRequest.life,
+                       aRequest.sequence,
+                       aRequest.configVersion,
+                       aRequest.digest)
     .Union();
 }
 
 flatbuffers::Offset<void>
-Put(Builder& aBuilder, const fleet::News& aNews)
+EncodeBody(Builder& aBuilder, const fleet::News& aUpdate)
 {
   std::vector<flatbuffers::Offset<fb::Upstream>> upstreams;
-  for (const auto& entry : aNews.upstreams) {
+  for (const auto& entry : aUpdate.upstreams) {
     //! NOTE strings that many entries share are encoded once.
     const auto service = aBuilder.CreateSharedString(entry.service);
     const auto zone = aBuilder.CreateSharedString(entry.zone);
@@ -46,52 +49,52 @@
   }
   flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<fb::Evacuation>>>
     evacuations;
-  if (aNews.evacuations) {
+  if (aUpdate.evacuations) {
     std::vector<flatbuffers::Offset<fb::Evacuation>> zones;
-    for (const auto& one : *aNews.evacuations) {
+    for (const auto& one : *aUpdate.evacuations) {
       zones.push_back(
         fb::CreateEvacuationDirect(aBuilder, one.zone.c_str(), one.revision));
     }
     evacuations = aBuilder.CreateVector(zones);
   }
-  const std::vector<std::uint8_t> config(aNews.config.begin(),
-                                         aNews.config.end());
-  const auto removed = aBuilder.CreateVectorOfStrings(aNews.removed);
+  const std::vector<std::uint8_t> config(aUpdate.config.begin(),
+                                         aUpdate.config.end());
+  const auto removed = aBuilder.CreateVectorOfStrings(aUpdate.removed);
   return fb::CreateNews(aBuilder,
-                        aNews.life,
-                        aNews.sequence,
-                        aNews.full,
-                        ToWireMillis(aNews.proofAge),
+                        aUpdate.life,
+                        aUpdate.sequence,
+                        aUpdate.full,
+                        ToWireMillis(aUpdate.proofAge),
                         aBuilder.CreateVector(config),
                         aBuilder.CreateVector(upstreams),
                         removed,
-                        ToWireMillis(aNews.waited),
+                        ToWireMillis(aUpdate.waited),
                         evacuations,
-                        static_cast<std::uint8_t>(aNews.state))
+                        static_cast<std::uint8_t>(aUpdate.state))
     .Union();
 }
 
 fb::Body
-KindOf(const NewsMessage& aMessage)
+BodyTypeOf(const NewsMessage& aMessage)
 {
   return std::holds_alternative<fleet::NewsAsk>(aMessage) ? fb::Body_Ask
                                                           : fb::Body_News;
 }
 
 std::string
-TextOf(const flatbuffers::String* aText)
+StringOrEmpty(const flatbuffers::String* aText)
 {
   return aText == nullptr ? std::string() : aText->str();
 }
 
 fleet::UpstreamEntry
-Read(const fb::Upstream& aWire)
+DecodeUpstream(const fb::Upstream& aWire)
 {
   fleet::UpstreamEntry entry;
   entry.id = aWire.id()->str();
-  entry.service = TextOf(aWire.service());
-  entry.address = { TextOf(aWire.ip()), aWire.port() };
-  entry.zone = TextOf(aWire.zone());
+  entry.service = StringOrEmpty(aWire.service());
+  entry.address = { StringOrEmpty(aWire.ip()), aWire.port() };
+  entry.zone = StringOrEmpty(aWire.zone());
   entry.slots = aWire.slots();
   entry.draining = aWire.draining();
   entry.coldFor = base::Duration(aWire.cold_ms());
@@ -103,41 +106,42 @@
 }
 
 fleet::News
-Read(const fb::News& aWire)
+DecodeUpdate(const fb::News& aWire)
 {
-  fleet::News news;
+  fleet::News update;
   if (aWire.state() > static_cast<std::uint8_t>(fleet::NewsState::Pending)) {
     throw base::Error(
       base::ErrorCode::BadFrame,
-      "News.state is " + std::to_string(aWire.state()) + ", expected at most " +
+      "store update has state " + std::to_string(aWire.state()) +
+        ", expected at most " +
         std::to_string(static_cast<std::uint8_t>(fleet::NewsState::Pending)));
   }
-  news.state = static_cast<fleet::NewsState>(aWire.state());
-  news.life = aWire.life();
-  news.sequence = aWire.sequence();
-  news.full = aWire.full();
-  news.proofAge = FromWireMillis(aWire.proof_age_ms());
-  news.waited = FromWireMillis(aWire.waited_ms());
+  update.state = static_cast<fleet::NewsState>(aWire.state());
+  update.life = aWire.life();
+  update.sequence = aWire.sequence();
+  update.full = aWire.full();
+  update.proofAge = FromWireMillis(aWire.proof_age_ms());
+  update.waited = FromWireMillis(aWire.waited_ms());
   if (aWire.config() != nullptr) {
-    news.config.assign(aWire.config()->begin(), aWire.config()->end());
+    update.config.assign(aWire.config()->begin(), aWire.config()->end());
   }
   if (aWire.upstreams() != nullptr) {
     for (const auto* entry : *aWire.upstreams()) {
-      news.upstreams.push_back(Read(*entry));
+      update.upstreams.push_back(DecodeUpstream(*entry));
     }
   }
   if (aWire.removed() != nullptr) {
     for (const auto* id : *aWire.removed()) {
-      news.removed.push_back(id->str());
+      update.removed.push_back(id->str());
     }
   }
   if (aWire.evacuations() != nullptr) {
-    auto& all = news.evacuations.emplace();
+    auto& evacuations = update.evacuations.emplace();
     for (const auto* one : *aWire.evacuations()) {
-      all.push_back({ one->zone()->str(), one->revision() });
+      evacuations.push_back({ one->zone()->str(), one->revision() });
     }
   }
-  return news;
+  return update;
 }
 
 }
@@ -146,10 +150,10 @@
 EncodeNews(const NewsMessage& aMessage)
 {
   Builder builder;
-  const auto body =
-    std::visit([&](const auto& aOne) { return Put(builder, aOne); }, aMessage);
-  fb::FinishMessageBuffer(builder,
-                          fb::CreateMessage(builder, KindOf(aMessage), body));
+  const auto body = std::visit(
+    [&](const auto& aOne) { return EncodeBody(builder, aOne); }, aMessage);
+  fb::FinishMessageBuffer(
+    builder, fb::CreateMessage(builder, BodyTypeOf(aMessage), body));
   const auto* data = builder.GetBufferPointer();
   return { data, data + builder.GetSize() };
 }
@@ -159,19 +163,21 @@
 {
   flatbuffers::Verifier verifier(aBytes.data(), aBytes.size());
   if (!fb::VerifyMessageBuffer(verifier)) {
-    throw base::Error(base::ErrorCode::BadFrame, "not a valid Message buffer");
+    throw base::Error(base::ErrorCode::BadFrame,
+                      "not a valid store update message");
   }
   const auto* message = fb::GetMessage(aBytes.data());
-  if (const auto* ask = message->body_as_Ask()) {
-    return fleet::NewsAsk{
-      ask->life(), ask->sequence(), ask->config_version(), ask->digest()
-    };
+  if (const auto* request = message->body_as_Ask()) {
+    return fleet::NewsAsk{ request->life(),
+                           request->sequence(),
+                           request->config_version(),
+                           request->digest() };
   }
-  if (const auto* news = message->body_as_News()) {
-    return Read(*news);
+  if (const auto* update = message->body_as_News()) {
+    return DecodeUpdate(*update);
   }
   throw base::Error(base::ErrorCode::BadFrame,
-                    "Message.body is missing, expected Ask or News");
+                    "store update message has no body");
 }
 
 }
--- a/src/gateway/internal/newsfollower.cpp
+++ b/src/gateway/internal/newsfollower.cpp
@@ -54,17 +54,17 @@
   m_nextConnectAt = m_loop.Now() + kReconnectDelay;
   m_connection = std::make_unique<framing::FrameConnection>(
     m_loop, m_router, kMaxNewsBytes, *this);
-  SendAsk();
+  SendRequest();
 }
 
 void
-NewsFollower::SendAsk()
+NewsFollower::SendRequest()
 {
   m_requestedAt = m_loop.Now();
-  auto ask = m_knownState();
-  ask.life = m_sourceIncarnation;
-  ask.sequence = m_sequence;
-  m_connection->Send(EncodeNews(ask));
+  auto request = m_knownState();
+  request.life = m_sourceIncarnation;
+  request.sequence = m_sequence;
+  m_connection->Send(EncodeNews(request));
 }
 
 void
@@ -72,53 +72,53 @@
                       const std::vector<std::uint8_t>& aFrame)
 {
   const auto message = DecodeNews(aFrame);
-  const auto* news = std::get_if<fleet::News>(&message);
-  if (news == nullptr) {
+  const auto* update = std::get_if<fleet::News>(&message);
+  if (update == nullptr) {
     throw base::Error(base::ErrorCode::BadFrame,
-                      "source router sent Ask, expected News");
+                      "request from a source router, expected a store update");
   }
-  if (news->state != fleet::NewsState::Proven) {
+  if (update->state != fleet::NewsState::Proven) {
     m_onPending();
   }
-  if (news->state == fleet::NewsState::Pending) {
+  if (update->state == fleet::NewsState::Pending) {
     return; // the request is still waiting for its answer
   }
-  HandleNews(*news);
-  SendAsk();
+  HandleUpdate(*update);
+  SendRequest();
 }
 
 void
-NewsFollower::HandleNews(const fleet::News& aNews)
+NewsFollower::HandleUpdate(const fleet::News& aUpdate)
 {
-  m_sourceIncarnation = aNews.life;
-  m_sequence = aNews.sequence;
-  if (aNews.state == fleet::NewsState::Unproven) {
-    m_events.OnListed(aNews.upstreams);
+  m_sourceIncarnation = aUpdate.life;
+  m_sequence = aUpdate.sequence;
+  if (aUpdate.state == fleet::NewsState::Unproven) {
+    m_events.OnListed(aUpdate.upstreams);
     return;
   }
   //! NOTE the response may have been delayed in a buffer, so the confirmation
   //! time is computed from the time of the request: the router answered at
-  //! least aNews.waited later.
-  const auto provenAt = m_requestedAt + aNews.waited - aNews.proofAge;
+  //! least aUpdate.waited later.
+  const auto provenAt = m_requestedAt + aUpdate.waited - aUpdate.proofAge;
   m_events.OnStoreReached(provenAt);
-  if (!aNews.config.empty()) {
-    m_events.OnStoredConfig(aNews.config);
+  if (!aUpdate.config.empty()) {
+    m_events.OnStoredConfig(aUpdate.config);
   }
-  if (aNews.full) {
-    m_events.OnListed(aNews.upstreams);
+  if (aUpdate.full) {
+    m_events.OnListed(aUpdate.upstreams);
   } else {
-    for (const auto& entry : aNews.upstreams) {
+    for (const auto& entry : aUpdate.upstreams) {
       m_events.OnUpstream(entry);
     }
-    for (const auto& id : aNews.removed) {
+    for (const auto& id : aUpdate.removed) {
       m_events.OnRemoved(id);
     }
   }
-  if (aNews.evacuations) {
-    m_events.OnEvacuations(*aNews.evacuations);
+  if (aUpdate.evacuations) {
+    m_events.OnEvacuations(*aUpdate.evacuations);
   }
   m_events.OnProven(provenAt);
-  m_onAnswer(aNews.proofAge);
+  m_onAnswer(aUpdate.proofAge);
 }
 
 void
--- a/src/gateway/internal/newsserver.cpp
+++ b/src/gateway/internal/newsserver.cpp
@@ -66,17 +66,17 @@
     return;
   }
   const auto message = DecodeNews(aFrame);
-  const auto* ask = std::get_if<fleet::NewsAsk>(&message);
-  if (ask == nullptr) {
+  const auto* request = std::get_if<fleet::NewsAsk>(&message);
+  if (request == nullptr) {
     throw base::Error(base::ErrorCode::BadFrame,
-                      "follower sent News, expected Ask");
+                      "store update from a follower, expected a request");
   }
   auto& follower = found->second;
-  follower.ask = *ask;
+  follower.request = *request;
   follower.requestedAt = m_loop.Now();
   follower.receivesFullList = false;
   if (IsDue(follower, follower.requestedAt)) {
-    Answer(follower);
+    SendUpdate(follower);
   } else {
     SendPending(follower, follower.requestedAt);
   }
@@ -100,15 +100,17 @@
 NewsServer::SendPending(Follower& aFollower, base::TimePoint aNow)
 {
   const bool isExpected = m_log.IsKnown() || m_isReading();
-  const bool waitsForFullList = aFollower.ask && m_log.WantsAll(*aFollower.ask);
+  const bool waitsForFullList =
+    aFollower.request && m_log.WantsAll(*aFollower.request);
   if (!waitsForFullList || !isExpected ||
       aNow - aFollower.pendingSentAt < kPendingInterval) {
     return;
   }
   aFollower.pendingSentAt = aNow;
-  fleet::News news;
-  news.state = fleet::NewsState::Pending;
-  Send(aFollower, EncodeNews(news), "news_bytes_sent_total{kind=\"pending\"}");
+  fleet::News update;
+  update.state = fleet::NewsState::Pending;
+  Send(
+    aFollower, EncodeNews(update), "news_bytes_sent_total{kind=\"pending\"}");
 }
 
 void
@@ -130,36 +132,37 @@
     m_fullListSequence = m_log.Sequence();
   }
   aFollower.receivesFullList = true;
-  aFollower.ask.reset();
+  aFollower.request.reset();
   Send(aFollower, m_fullList, "news_bytes_sent_total{kind=\"all\"}");
 }
 
 bool
 NewsServer::IsDue(const Follower& aFollower, base::TimePoint aNow) const
 {
-  if (!aFollower.ask || !m_log.IsKnown()) {
+  if (!aFollower.request || !m_log.IsKnown()) {
     return false;
   }
-  if (m_log.WantsAll(*aFollower.ask)) {
+  if (m_log.WantsAll(*aFollower.request)) {
     return MaySendFullList();
   }
-  return m_log.HasNews(*aFollower.ask) ||
+  return m_log.HasNews(*aFollower.request) ||
          aNow - m_proofAge() >= aFollower.sentProvenAt + fleet::kProofStep ||
          aNow - aFollower.requestedAt >= fleet::kNewsWait;
 }
 
 void
-NewsServer::Answer(Follower& aFollower)
+NewsServer::SendUpdate(Follower& aFollower)
 {
-  if (m_log.WantsAll(*aFollower.ask)) {
+  if (m_log.WantsAll(*aFollower.request)) {
     SendFullList(aFollower);
     return;
   }
-  auto news = m_log.Answer(*aFollower.ask, m_proofAge());
-  news.waited = m_loop.Now() - aFollower.requestedAt;
-  aFollower.ask.reset();
-  aFollower.sentProvenAt = m_loop.Now() - news.proofAge;
-  Send(aFollower, EncodeNews(news), "news_bytes_sent_total{kind=\"changes\"}");
+  auto update = m_log.Answer(*aFollower.request, m_proofAge());
+  update.waited = m_loop.Now() - aFollower.requestedAt;
+  aFollower.request.reset();
+  aFollower.sentProvenAt = m_loop.Now() - update.proofAge;
+  Send(
+    aFollower, EncodeNews(update), "news_bytes_sent_total{kind=\"changes\"}");
 }
 
 void
@@ -167,7 +170,7 @@
 {
   std::vector<framing::FrameConnection*> waiting;
   for (const auto& [key, follower] : m_followers) {
-    if (follower.ask) {
+    if (follower.request) {
       waiting.push_back(key);
     }
   }
@@ -177,7 +180,7 @@
       continue;
     }
     if (IsDue(found->second, aNow)) {
-      Answer(found->second);
+      SendUpdate(found->second);
     } else {
       SendPending(found->second, aNow);
     }
--- a/src/gateway/internal/reportcodec.cpp
+++ b/src/gateway/internal/reportcodec.cpp
@@ -37,7 +37,7 @@
 constexpr std::size_t kInitialBufferBytes = 2048;
 constexpr int kWordBits = 32;
 //! Unread tokens are sent in units of this many tokens, rounded up. An engine
-//! reads one unit in less than a millisecond.
+//! prefills one unit in less than a millisecond.
 constexpr std::uint32_t kUnreadUnit = 16;
 
 //! Converts to 16 bits; larger counts become the maximum, which no engine
--- a/src/gateway/internal/upstreamchecks.cpp
+++ b/src/gateway/internal/upstreamchecks.cpp
@@ -84,7 +84,7 @@
   if (found == m_checks.end()) {
     return;
   }
-  const bool hasOpenConnections = m_pool.HasOpen(found->second.upstream);
+  const bool hasOpenConnections = m_pool.HasEstablished(found->second.upstream);
   Finish(aConnection,
          hasOpenConnections ? CheckResult::Lives : CheckResult::Crashed);
 }
--- a/src/gateway/internal/upstreampool.cpp
+++ b/src/gateway/internal/upstreampool.cpp
@@ -61,7 +61,7 @@
 }
 
 bool
-UpstreamPool::HasOpen(base::UpstreamId aUpstream) const
+UpstreamPool::HasEstablished(base::UpstreamId aUpstream) const
 {
   return std::any_of(
     m_connections.begin(), m_connections.end(), [&](const auto& aEntry) {
--- a/src/gateway/newsfollower.h
+++ b/src/gateway/newsfollower.h
@@ -45,8 +45,8 @@
 
 private:
   void Connect();
-  void SendAsk();
-  void HandleNews(const fleet::News& aNews);
+  void SendRequest();
+  void HandleUpdate(const fleet::News& aUpdate);
 
   eventloop::EventLoop& m_loop;
   base::Address m_router;
--- a/src/gateway/newsserver.h
+++ b/src/gateway/newsserver.h
@@ -53,7 +53,7 @@
   struct Follower
   {
     std::unique_ptr<framing::FrameConnection> connection;
-    std::optional<fleet::NewsAsk> ask; //!< unanswered request, if any
+    std::optional<fleet::NewsAsk> request; //!< unanswered request, if any
     base::TimePoint requestedAt{};
     base::TimePoint sentProvenAt{}; //!< confirmation time that was sent last
     base::TimePoint pendingSentAt{ base::TimePoint::min() / 2 }; //!< last sent
@@ -63,7 +63,7 @@
 
   void Accept(const ACE_SOCK_Stream& aStream);
   bool IsDue(const Follower& aFollower, base::TimePoint aNow) const;
-  void Answer(Follower& aFollower);
+  void SendUpdate(Follower& aFollower);
   void SendFullList(Follower& aFollower);
   void Send(Follower& aFollower,
             const std::vector<std::uint8_t>& aFrame,
--- a/src/gateway/upstreampool.h
+++ b/src/gateway/upstreampool.h
@@ -41,11 +41,11 @@
   void CloseIdle(base::UpstreamId aUpstream);
 
   //! Number of open connections, in use or idle.
-  std::size_t Open() const { return m_connections.size(); }
+  std::size_t OpenCount() const { return m_connections.size(); }
   //! Whether any connection to that upstream is established, in use or idle.
-  bool HasOpen(base::UpstreamId aUpstream) const;
+  bool HasEstablished(base::UpstreamId aUpstream) const;
   //! Number of connections opened since the start.
-  std::uint64_t Opened() const { return m_totalOpened; }
+  std::uint64_t TotalOpened() const { return m_totalOpened; }
 
   HeadVerdict OnAnswerHead(http::ClientConnection& aConnection,
                            http::ResponseHead&& aHead) override;
