--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -35,7 +35,7 @@
 //! Interval of the log line about the requests that a busy router receives.
 constexpr base::Duration kIntakeLogInterval = 1000ms;
 //! A longer gap between two fast ticks is logged as a stall of the process.
-constexpr base::Duration kMinStallLogged = 1000ms;
+constexpr base::Duration kStallLogThreshold = 1000ms;
 //! How long new requests are still accepted after a stop began: the load
 //! balancer sends new connections until two readiness probes have failed.
 constexpr base::Duration kAcceptTimeAfterStop = 2700ms;
@@ -121,7 +121,7 @@
   , m_membership(aSettings.peerListen,
                  base::HashName(aSettings.zone),
                  SeedsOf(aSettings))
-  , m_intakeReportedAt(aLoop.Now())
+  , m_intakeLoggedAt(aLoop.Now())
   , m_startedAt(aLoop.Now())
   , m_lastTick(m_startedAt)
 {
@@ -360,7 +360,7 @@
   const auto now = m_loop.Now();
   const auto sinceLastTick = now - m_lastTick;
   m_lastTick = now;
-  if (sinceLastTick > kMinStallLogged) {
+  if (sinceLastTick > kStallLogThreshold) {
     m_metrics.Count("stood_still_total");
     LogLine("stood-still").Add("ms", sinceLastTick.count()).Warn();
   }
@@ -392,11 +392,11 @@
 void
 Gateway::LogIntake(base::TimePoint aNow)
 {
-  if (aNow - m_intakeReportedAt < kIntakeLogInterval) {
+  if (aNow - m_intakeLoggedAt < kIntakeLogInterval) {
     return;
   }
-  const auto elapsed = aNow - m_intakeReportedAt;
-  m_intakeReportedAt = aNow;
+  const auto elapsed = aNow - m_intakeLoggedAt;
+  m_intakeLoggedAt = aNow;
   const auto counts = std::exchange(m_intake, {});
   const bool busy = m_loop.BusyFor() > fleet::kBusyAfter;
   if (!busy && !m_listener->IsPaused()) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -151,11 +151,11 @@
   base::TimePoint m_storeAnsweredAt{ base::TimePoint::min() / 2 };
   bool m_upstreamListChanged =
     false; //!< since the last call of ApplyUpstreamList
-  fleet::SourcePolicy m_sourcePolicy;
+  fleet::SourcePolicy m_sourceSelector;
   fleet::StoreEra m_storeEra;
   //! Version of the configuration that the current source sent last.
   std::optional<std::uint64_t> m_storedConfigVersion;
-  fleet::KnownReader m_knownReader;
+  fleet::KnownReader m_freshestReader;
   //! The store was last known to hold the content of m_storeChangeLog at this
   //! time. API keys may have been confirmed later, by reports of other routers,
   //! which say nothing about upstreams.
@@ -175,8 +175,8 @@
   bool m_loggedReady = false; //!< as last logged
   bool m_stopped = false;
   std::size_t m_requestsAborted = 0;
-  CallerIntake m_intake; //!< counts since m_intakeReportedAt
-  base::TimePoint m_intakeReportedAt{};
+  CallerIntake m_intake; //!< counts since m_intakeLoggedAt
+  base::TimePoint m_intakeLoggedAt{};
   base::TimePoint m_startedAt{};
   base::TimePoint m_lastTick{};
 };
--- a/src/gateway/internal/exchange.cpp
+++ b/src/gateway/internal/exchange.cpp
@@ -118,7 +118,7 @@
     return;
   }
   if (m_headSent && m_isBuffering) {
-    return; // an error response instead of the rest of a stream
+    return; // not the event stream whose rest is expected
   }
   SendHead();
   m_caller->Write(m_bufferedBody);
@@ -200,8 +200,9 @@
   EndAttempt(isError ? AttemptEnd::AnsweredFailure : AttemptEnd::Answered);
   const bool mayRetry = isError && m_route->MayRunAgain();
   if (m_headSent && !IsStream() && m_isBuffering) {
-    AttemptFailed(Verdict::MayHaveRun,
-                  "error response instead of the rest of the stream");
+    AttemptFailed(
+      Verdict::MayHaveRun,
+      "expected the rest of the event stream, got another response");
     return;
   }
   if (mayRetry) {
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -52,7 +52,7 @@
   //! The exchange has ended. It may be deleted after the event loop's current
   //! round.
   virtual void OnFinished(Exchange& aExchange) = 0;
-  //! Whether the router is stopping and accepts no more requests.
+  //! Whether the router is stopping and no longer accepts requests.
   virtual bool IsClosing() const = 0;
 };
 
@@ -94,7 +94,6 @@
 
 private:
   // Filters. Each returns false if it has sent a response.
-
   bool Decode(http::RequestHead&& aHead, std::string&& aBody);
   bool FindRoute();
   bool CheckApiKey();
@@ -147,11 +146,11 @@
 
   fleet::RequestFingerprint m_fingerprint{};
 
-  fleet::AttemptId m_attempt = 0;
+  fleet::AttemptId m_attempt = 0; //!< the running attempt; 0 if none
   std::string m_upstreamId;
   std::vector<base::UpstreamId> m_triedUpstreams;
-  std::uint32_t m_attemptsMayHaveRun = 0;
-  std::uint32_t m_attemptsNotRun = 0;
+  std::uint32_t m_attemptsMayHaveRun = 0; //!< failed attempts
+  std::uint32_t m_attemptsNotRun = 0;     //!< failed attempts
   bool m_isSameZone = false;   //!< whether the upstream is in the router's zone
   std::size_t m_bytesSent = 0; //!< to the current upstream
   std::size_t m_bytesReceived = 0; //!< body bytes from the current upstream
@@ -163,7 +162,7 @@
   std::string
     m_bufferedBody; //!< of a response that is buffered until it is complete
   bool m_isBuffering = true; //!< the response's body is still being buffered
-  bool m_headSent = false;
+  bool m_headSent = false;   //!< the caller has the head of the response
   //! An error response of the upstream is kept, to be sent if no retry is
   //! possible.
   bool m_hasErrorResponse = false;
--- a/src/gateway/internal/gatewaynews.cpp
+++ b/src/gateway/internal/gatewaynews.cpp
@@ -70,7 +70,7 @@
     m_storeEra.Told(aReport.storeEra, aReport.storeEraAge, now);
   }
   if (aReport.reader.port != 0) {
-    m_knownReader.Learn(aReport.reader, now - aReport.readerAge);
+    m_freshestReader.Learn(aReport.reader, now - aReport.readerAge);
   }
   if (m_fleet.Take(aReport, now)) {
     RelayZoneReport(aReport);
@@ -153,9 +153,9 @@
     report.storeEra = m_storeEra.Era();
     report.storeEraAge = *age;
   }
-  if (const auto reader = m_knownReader.Best(aNow)) {
+  if (const auto reader = m_freshestReader.Best(aNow)) {
     report.reader = *reader;
-    report.readerAge = m_knownReader.ProofAge(aNow);
+    report.readerAge = m_freshestReader.ProofAge(aNow);
   }
   if (report.sequence % fleet::kMembersEvery == 0) {
     report.members = m_membership.Known(aNow);
@@ -173,34 +173,34 @@
 Gateway::UpdateSourceOptions(const fleet::ExchangePlan& aPlan,
                              base::TimePoint aNow)
 {
-  fleet::SourceView view;
-  view.self = m_settings.peerListen;
-  view.hash = base::HashName(m_settings.peerListen.Text());
+  fleet::SourceView context;
+  context.self = m_settings.peerListen;
+  context.hash = base::HashName(m_settings.peerListen.Text());
   for (const auto& seed : SeedsOf(m_settings)) {
     if (seed == m_settings.peerListen) {
-      view.isSeed = true;
+      context.isSeed = true;
     } else {
-      view.seeds.push_back(seed);
+      context.seeds.push_back(seed);
     }
   }
-  view.sinceStart = aNow - m_startedAt;
-  view.seedWait = m_settings.seedWait;
-  view.proofAge = std::min(aNow - m_storeProvenAt, view.sinceStart);
-  view.knownReader = m_knownReader.Better(m_storeProvenAt, aNow);
-  auto options = fleet::MakeSourceOptions(view, aPlan);
+  context.sinceStart = aNow - m_startedAt;
+  context.seedWait = m_settings.seedWait;
+  context.proofAge = std::min(aNow - m_storeProvenAt, context.sinceStart);
+  context.knownReader = m_freshestReader.Better(m_storeProvenAt, aNow);
+  auto options = fleet::MakeSourceOptions(context, aPlan);
   for (auto& source : options.order) {
     if (source.kind == fleet::SourceKind::Router) {
       source.address.port = m_settings.controlListen.port;
     }
   }
-  m_sourcePolicy.SetOptions(options, aNow);
+  m_sourceSelector.SetOptions(options, aNow);
 }
 
 void
 Gateway::TickSource(base::TimePoint aNow)
 {
-  m_sourcePolicy.Tick(aNow);
-  if (!m_openSource || !(*m_openSource == m_sourcePolicy.Current())) {
+  m_sourceSelector.Tick(aNow);
+  if (!m_openSource || !(*m_openSource == m_sourceSelector.Current())) {
     OpenSource();
   }
   m_storeUpdateSource->Tick(aNow);
@@ -209,7 +209,7 @@
 void
 Gateway::OpenSource()
 {
-  const auto& source = m_sourcePolicy.Current();
+  const auto& source = m_sourceSelector.Current();
   m_openSource = source;
   m_storedConfigVersion.reset();
   LogLine("news-source")
@@ -224,8 +224,8 @@
       *this,
       m_metrics,
       m_storeEra,
-      m_sourcePolicy.IsPreferred() ? kMaxStoreBackoff
-                                   : kMaxStoreBackoffLastResort);
+      m_sourceSelector.IsPreferred() ? kMaxStoreBackoff
+                                     : kMaxStoreBackoffLastResort);
     return;
   }
   m_storeUpdateSource = std::make_unique<NewsFollower>(
@@ -238,9 +238,9 @@
       };
     },
     [this](base::Duration aProofAge) {
-      m_sourcePolicy.Answered(aProofAge, m_loop.Now());
+      m_sourceSelector.Answered(aProofAge, m_loop.Now());
     },
-    [this] { m_sourcePolicy.Pending(m_loop.Now()); });
+    [this] { m_sourceSelector.Pending(m_loop.Now()); });
 }
 
 //! Applies changes of the upstream list to the fleet and to the log for other
@@ -396,9 +396,9 @@
   m_fleet.ConfigFreshness().Proven(aAt);
   m_storeProvenAt = std::max(m_storeProvenAt, aAt);
   HandleZoneNotices(m_fleet.Evacuated().Proven(aAt));
-  if (m_sourcePolicy.Current().kind == fleet::SourceKind::Store) {
-    m_knownReader.Learn(m_settings.peerListen, aAt);
-    m_sourcePolicy.Answered(base::Duration{}, m_loop.Now());
+  if (m_sourceSelector.Current().kind == fleet::SourceKind::Store) {
+    m_freshestReader.Learn(m_settings.peerListen, aAt);
+    m_sourceSelector.Answered(base::Duration{}, m_loop.Now());
   }
 }
 
@@ -412,7 +412,7 @@
 Gateway::OnStoreReached(base::TimePoint aAt)
 {
   m_fleet.Upstreams().StoreReached(aAt);
-  if (m_sourcePolicy.Current().kind == fleet::SourceKind::Store) {
+  if (m_sourceSelector.Current().kind == fleet::SourceKind::Store) {
     m_storeAnsweredAt = aAt;
   }
 }
--- a/src/gateway/internal/gatewaypages.cpp
+++ b/src/gateway/internal/gatewaypages.cpp
@@ -42,7 +42,7 @@
     m_stopBeganAt ? "yes" : "no",
     m_fleet.ConfigVersion(),
     m_fleet.ConfigFreshness().Age(now).count(),
-    fleet::kSourceKindNames.NameOf(m_sourcePolicy.Current().kind),
+    fleet::kSourceKindNames.NameOf(m_sourceSelector.Current().kind),
     m_fleet.Peers().Routers(),
     m_exchanges.size(),
     m_connections.Size());
