--- a/src/fleet/calllevels.h
+++ b/src/fleet/calllevels.h
@@ -6,29 +6,30 @@
 
 namespace hemlockgauge::fleet {
 
-//! Places of a plain service's upstreams for calls that run.
+//! Slots of all upstreams of a plain service.
 struct ServicePlaces
 {
-  std::uint32_t taken = 0; //!< by the calls of all routers
-  std::uint32_t all = 0;
+  std::uint32_t taken = 0; //!< used by calls of all routers
+  std::uint32_t all = 0;   //!< used and free
 };
 
-//! Which calls of plain services may begin; see PassingPart.
+//! Throttles calls to plain services under overload; see PassingPart.
 class CallLevels
 {
 public:
-  //! To be called once a kReportPeriod, with all plain services. aRates: over
-  //! all routers.
+  //! Must be called once per kReportPeriod with all plain services. aRates:
+  //! sums over all routers.
   void Update(const std::map<ServiceId, ServicePlaces>& aPlaces,
               const CallRates& aRates);
-  //! aKey differs between requests: draws those that pass.
+  //! Whether a call may begin. aKey must differ between requests: the admitted
+  //! ratio is drawn by its hash.
   bool Passes(ServiceId aService, std::uint64_t aKey) const;
 
 private:
   struct Level
   {
-    double utilisation = 0; //!< part of places taken, mean of kShareMemory
-    double part = 1;        //!< of the calls that passes
+    double utilisation = 0;   //!< used slots, averaged over kShareMemory
+    double admittedRatio = 1; //!< of calls
   };
 
   std::map<ServiceId, Level> m_levels;
--- a/src/fleet/callrates.h
+++ b/src/fleet/callrates.h
@@ -6,22 +6,23 @@
 
 namespace hemlockgauge::fleet {
 
-//! Calls of a plain service, a second.
+//! Rates of calls to a plain service, in calls per second.
 struct CallRate
 {
-  double asked = 0;    //!< by callers
-  double answered = 0; //!< by upstreams, also with a failure
+  double asked = 0;    //!< received from callers
+  double answered = 0; //!< answered by upstreams, failures included
 };
 
 using CallRates = std::map<ServiceId, CallRate>;
 
-//! What this router is asked and gets, with an exponential memory of
-//! kShareMemory.
+//! Measures calls to plain services and their answers at this router as
+//! exponentially decaying rates with the time constant kShareMemory.
 class CallMeter
 {
 public:
   void Asked(ServiceId aService, TimePoint aNow);
   void Answered(ServiceId aService, TimePoint aNow);
+  //! Returns the rates as of aNow and drops entries with negligible rates.
   const CallRates& Rates(TimePoint aNow);
 
 private:
@@ -31,13 +32,15 @@
   TimePoint m_decayedAt{};
 };
 
-//! The part of the calls of a plain service that may begin, so that all routers
-//! begin together what it can run: what it answers against how busy it is.
-//! Answers the load "more calls than it can run, from many routers, with news
-//! of its queue that is older than the queue takes to fill": by the queue alone
-//! all let in too much and then refuse too much, and a quarter of its time is
-//! lost. These rates change slowly, so routers agree without knowing the queue.
-//! aRate: over all routers.
+//! Returns the ratio of calls to a plain service to admit, so that all routers
+//! together admit as many as it can run. Its capacity follows from its answer
+//! rate (aRate, summed over all routers) and its utilisation.
+//!
+//! Handles overload by many routers whose reports of the service's queue are
+//! older than the queue takes to fill. If routers decided by the queue alone,
+//! all would admit too many calls and then refuse too many, and a quarter of
+//! the service's time would be lost. The rates change slowly, so routers agree
+//! without knowing the queue.
 double
 PassingPart(const CallRate& aRate, double aUtilisation);
 
--- a/src/fleet/fairshare.h
+++ b/src/fleet/fairshare.h
@@ -6,7 +6,7 @@
 
 namespace hemlockgauge::fleet {
 
-//! What a workspace asks and what was begun for it, in tokens a second.
+//! A workspace's demand and what was admitted of it, in tokens per second.
 struct WorkspaceRate
 {
   double asked = 0;
@@ -15,35 +15,38 @@
 
 using WorkspaceRates = std::map<WorkspaceId, WorkspaceRate>;
 
-//! Splits aCapacity by max-min over what is asked: who asks less than an
-//! even part gets all it asks, the others the same part of what is left.
-//! Returns that part: the most any workspace gets.
+//! Splits aCapacity by max-min fairness: a workspace whose demand is below an
+//! equal share gets all of it, the others get equal shares of the rest. Returns
+//! that share, the most that any workspace gets; infinity if the capacity
+//! covers all demands.
 double
 MaxMinLevel(const WorkspaceRates& aRates, double aCapacity);
 
-//! Meters what the workspaces ask and get at this router, with a memory of
-//! kShareMemory.
+//! Measures the demand and the admitted work of each workspace at this router
+//! as exponentially decaying rates with the time constant kShareMemory.
 class DemandMeter
 {
 public:
+  //! Counts a request that arrived. aCost: see Work::Cost.
   void Asked(WorkspaceId aWorkspace, double aCost, TimePoint aNow);
-  //! aUnread: prompt tokens that the upstream has to read for it.
+  //! Counts an admitted request. aPrefillTokens: prompt tokens that the
+  //! upstream does not have cached.
   void Begun(WorkspaceId aWorkspace,
              double aCost,
-             double aUnread,
+             double aPrefillTokens,
              TimePoint aNow);
-  //! Rates as of aNow; entries that have faded away are dropped.
+  //! Returns the rates as of aNow and drops entries with negligible rates.
   const WorkspaceRates& Rates(TimePoint aNow);
-  //! Tokens a second that have to be read for what was begun, as of the last
-  //! call of the others.
-  double Reading() const { return m_reading; }
+  //! Prompt tokens per second that upstreams have to prefill for admitted
+  //! requests, as of the last call of another method.
+  double Reading() const { return m_prefillRate; }
 
 private:
   void Decay(TimePoint aNow);
 
   TimePoint m_decayedAt{};
   WorkspaceRates m_rates;
-  double m_reading = 0;
+  double m_prefillRate = 0;
 };
 
 }
--- a/src/fleet/fleettypes.h
+++ b/src/fleet/fleettypes.h
@@ -17,8 +17,8 @@
 #include <unordered_map>
 #include <vector>
 
-//! What the decisions about requests work on: the configuration in force,
-//! the upstreams, and what a request asks for.
+//! Data that placement and admission work on: the configuration in force, the
+//! upstreams, and the work that a request needs.
 namespace hemlockgauge::fleet {
 
 using base::Duration;
@@ -28,36 +28,37 @@
 using base::WorkspaceId;
 using quarantine::RequestFingerprint;
 
-//! What may happen to a request more than once.
+//! How often a request may run.
 enum class CallKind : std::uint8_t
 {
-  Idempotent, //!< may run any number of times
-  AtMostOnce, //!< may run once
-  Stream      //!< a series of events; may run once unless it is resumable
+  Idempotent, //!< any number of times
+  AtMostOnce, //!< once
+  Stream      //!< answered by a stream of events; once unless it is resumable
 };
 inline constexpr auto kCallKindNames =
   base::MakeEnumNames<CallKind>("idempotent", "at-most-once", "stream");
 
-//! A part of a route's requests that goes to one service.
+//! A service that gets a weighted part of a route's requests.
 struct ServiceWeight
 {
   std::string service;
   std::uint32_t weight = 1;
 };
 
+//! Requests to one host and path prefix, and how they are handled.
 struct Route
 {
   std::string name;
   std::string host;
   std::string prefix; //!< begins and ends with a slash
   CallKind kind = CallKind::AtMostOnce;
-  Duration timeout{ 30000 }; //!< a request has its final answer by then
-  Duration target{ 1000 };   //!< first answer in time, from its arrival
+  Duration timeout{ 30000 }; //!< from the arrival to the end of the answer
+  Duration target{ 1000 };   //!< from the arrival to the start of the answer
   std::uint32_t maxAttempts = 1;
-  bool isPublic = false;  //!< needs no key
-  bool resumable = false; //!< a stream may go on at another upstream
+  bool isPublic = false;  //!< requests need no key
+  bool resumable = false; //!< a stream may be resumed at another upstream
   std::vector<ServiceWeight> split;
-  //! Where its requests may run; empty: anywhere.
+  //! Regions in which its requests may run; empty: all.
   std::vector<std::string> allowedRegions;
 
   bool MayRunAgain() const
@@ -67,39 +68,41 @@
   }
 };
 
+//! A service: a set of equal upstreams, either model engines or plain.
 struct Service
 {
   std::string name;
   std::uint32_t engineSlots = 0; //!< 0: not a model engine
-  //! What an engine's memory holds, running requests and kept prompts
-  //! together. 0: not said.
+  //! Size of an engine's KV cache in tokens, shared by running requests and
+  //! cached prompts. 0: not configured.
   double memoryTokens = 0;
-  double bytesPerToken = 0; //!< of that memory; 0: not said
-  //! Of the links over which engines copy it from each other, in Mbit/s; 0:
-  //! there are none.
+  double bytesPerToken = 0; //!< of the KV cache; 0: not configured
+  //! Bandwidth of the links over which engines copy cached tokens from each
+  //! other, in Mbit/s; 0: no such links.
   double copyMbps = 0;
 
-  //! Requests a second that a cold upstream bears from all routers together;
-  //! 0: not said.
+  //! Requests per second that a cold upstream can take from all routers
+  //! together; 0: not configured.
   double coldPerSecond = 0;
 
   bool IsEngine() const { return engineSlots > 0; }
   bool CanCopy() const { return copyMbps > 0 && bytesPerToken > 0; }
 };
 
-//! One version of the configuration; never changed once built.
+//! One version of the configuration; immutable once built.
 struct FleetConfig
 {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::map<std::string, Service, std::less<>> services;
   base::CallerLimits limits;
-  //! What all engines together are said to do: tokens read once, tokens
-  //! generated twice. 0: not said.
+  //! Nominal capacity of all engines together, in tokens per second as counted
+  //! by Work::Cost. 0: not configured.
   double tokensPerSecond = 0;
   bool needsKeys = false;
   std::unordered_map<std::string, std::string> workspaceOfKey;
-  //! Where requests of a workspace may run; one that isn't named: anywhere.
+  //! Regions in which a workspace's requests may run. A workspace without an
+  //! entry may run in all regions.
   std::unordered_map<std::string, std::vector<std::string>> regionsOfWorkspace;
 };
 
@@ -108,45 +111,46 @@
 //! One upstream as the platform lists it.
 struct UpstreamEntry
 {
-  std::string id; //!< may outlast a restart of the upstream
-  //! Unix time of the upstream's start, in ms; nothing if it isn't told.
+  std::string id; //!< may stay the same over a restart of the upstream
+  //! Unix time of the upstream's start, in ms; empty if not reported.
   std::optional<std::uint64_t> startedAt;
-  //! False where the entry can't be read or says what an upstream never says:
-  //! then only its id is known, and nothing is sent there.
+  //! False if the entry can't be parsed or contains invalid values. Then only
+  //! the id is set, and no request is sent to the upstream.
   bool usable = true;
   std::string service;
   base::Address address;
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  Duration coldFor{}; //!< how much longer it is cold, when this was written
+  Duration coldFor{}; //!< remaining cold time when the entry was written
 
   bool operator==(const UpstreamEntry&) const = default;
 };
 
-//! One part of a prompt; the same id stands for the same tokens.
+//! One part of a prompt. Parts with the same id have the same tokens.
 struct PromptPart
 {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
 };
 
-//! What a request asks of an upstream.
+//! The work that a request needs at an upstream.
 struct Work
 {
-  std::vector<PromptPart> prompt; //!< in order; the last part is its own
+  std::vector<PromptPart> prompt; //!< in order; the last part is not shared
   std::uint32_t promptTokens = 0;
-  std::uint32_t outputTokens = 0; //!< the most it may generate
+  std::uint32_t outputTokens = 0; //!< upper limit of generated tokens
 
   bool IsGeneration() const { return promptTokens > 0; }
-  //! In the unit of FleetConfig::tokensPerSecond.
+  //! Cost in tokens: prompt tokens count once, generated tokens twice.
   double Cost() const { return promptTokens + 2.0 * outputTokens; }
-  //! Tokens that no other request shares.
+  //! Prompt tokens that no other request shares.
   std::uint32_t OwnTokens() const
   {
     return prompt.empty() ? promptTokens : prompt.back().tokens;
   }
-  //! The part that other requests share with it, by which it is placed.
+  //! The last prompt part that other requests share, or the only part. The
+  //! request is placed by its id. Null without prompt parts.
   const PromptPart* LastShared() const
   {
     if (prompt.empty()) {
@@ -156,9 +160,10 @@
   }
 };
 
-//! Names one incarnation of an upstream: whatever is learned about it under
-//! this id (its speed, its health, what it holds, what runs there) ends with
-//! it, here and in what other routers tell.
+//! Returns an id of one incarnation of an upstream. What is learned about the
+//! upstream (speed, health, cached prefixes, running requests) is stored under
+//! this id, here and in reports of other routers, so it ends with the
+//! incarnation.
 inline UpstreamId
 UpstreamIdOf(std::string_view aId, std::optional<std::uint64_t> aStartedAt = {})
 {
--- a/src/fleet/forecasterror.h
+++ b/src/fleet/forecasterror.h
@@ -7,25 +7,26 @@
 
 namespace hemlockgauge::fleet {
 
-//! How much later than foreseen first tokens came lately. Where what is known
-//! of the engines is old and many send at once, forecasts are too short.
+//! Moving average of how much later than predicted first tokens came.
+//! Predictions are too short if the load reports are old and many routers send
+//! at once.
 class ForecastError
 {
 public:
   double Millis() const { return m_millis; }
-  void Learn(double aForeseenMs, double aTookMs)
+  void Learn(double aPredictedMs, double aActualMs)
   {
-    m_millis += kForecastGain * (aTookMs - aForeseenMs - m_millis);
+    m_millis += kForecastGain * (aActualMs - aPredictedMs - m_millis);
   }
 
-  //! Part of what all engines can read that may begin: the less the forecasts
-  //! are worth, the less.
+  //! Ratio of the engines' learned prefill speed up to which requests may be
+  //! admitted: it falls linearly as the error grows.
   double ReadingUse() const
   {
-    const double part = (m_millis - kForecastErrorSmall) /
-                        (kForecastErrorLarge - kForecastErrorSmall);
+    const double position = (m_millis - kForecastErrorSmall) /
+                            (kForecastErrorLarge - kForecastErrorSmall);
     return std::lerp(
-      kReadingUseMost, kReadingUseLeast, std::clamp(part, 0.0, 1.0));
+      kReadingUseMost, kReadingUseLeast, std::clamp(position, 0.0, 1.0));
   }
 
 private:
--- a/src/fleet/freshness.h
+++ b/src/fleet/freshness.h
@@ -5,18 +5,19 @@
 
 namespace hemlockgauge::fleet {
 
-//! Whether what this router believes about keys is recent enough. A key
-//! that was withdrawn must stop working within a bound everywhere, also at
-//! a router that cannot hear of it: such a router refuses keyed requests.
+//! Tracks when the configuration in force was last known to be the newest. A
+//! withdrawn key must stop working within a bound at all routers, so a router
+//! that is cut off from updates for that long refuses requests with keys.
 class Freshness
 {
 public:
-  //! aBound: within which a withdrawn key stops working; 0: none is set.
+  //! aBound: time within which a withdrawn key must stop working; 0: no bound.
   void Configure(Duration aBound) { m_bound = aBound; }
-  //! The configuration in force was the newest one at aAt.
+  //! Records that the configuration in force was the newest one at aAt.
   void Proven(TimePoint aAt) { m_provenAt = std::max(m_provenAt, aAt); }
 
   TimePoint ProvenAt() const { return m_provenAt; }
+  //! Time since the configuration was last known to be the newest.
   Duration Age(TimePoint aNow) const { return aNow - m_provenAt; }
   bool MayUseKeys(TimePoint aNow) const
   {
--- a/src/fleet/internal/calllevels.cpp
+++ b/src/fleet/internal/calllevels.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-//! Weight of one more period in the mean utilisation.
+//! Weight of a new sample in the mean utilisation.
 constexpr double kUtilisationGain = static_cast<double>(kReportPeriod.count()) /
                                     static_cast<double>(kShareMemory.count());
-//! Sets this draw apart from other hashes of the same key.
+//! Makes this draw independent of other hashes of the same key.
 constexpr std::uint32_t kDrawSeed = 0x1e7e;
 
 }
@@ -26,11 +26,11 @@
   });
   for (const auto& [service, places] : aPlaces) {
     auto& level = m_levels[service];
-    const double taken =
+    const double sample =
       static_cast<double>(places.taken) / std::max(places.all, 1U);
-    level.utilisation += kUtilisationGain * (taken - level.utilisation);
+    level.utilisation += kUtilisationGain * (sample - level.utilisation);
     const auto rate = aRates.find(service);
-    level.part =
+    level.admittedRatio =
       rate == aRates.end() ? 1.0 : PassingPart(rate->second, level.utilisation);
   }
 }
@@ -42,11 +42,11 @@
   if (found == m_levels.end()) {
     return true;
   }
-  constexpr auto kMost =
+  constexpr auto kMaxDraw =
     static_cast<double>(std::numeric_limits<std::uint64_t>::max());
   const auto key = static_cast<std::uint32_t>(aKey);
   const auto draw = static_cast<double>(base::HashPair(key, kDrawSeed));
-  return draw <= found->second.part * kMost;
+  return draw <= found->second.admittedRatio * kMaxDraw;
 }
 
 }
--- a/src/fleet/internal/callrates.cpp
+++ b/src/fleet/internal/callrates.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-constexpr double kMemoryMs = static_cast<double>(kShareMemory.count());
-constexpr double kMillis = 1000.0;
-//! Rates under this are as good as none, in calls a second.
-constexpr double kFaded = 0.001;
+constexpr double kTimeConstantMs = static_cast<double>(kShareMemory.count());
+constexpr double kMillisPerSecond = 1000.0;
+//! Rates below this are negligible, in calls per second.
+constexpr double kMinRate = 0.001;
 
 }
 
 void
 CallMeter::Decay(TimePoint aNow)
 {
-  const auto past = static_cast<double>((aNow - m_decayedAt).count());
-  if (past <= 0) {
+  const auto elapsedMs = static_cast<double>((aNow - m_decayedAt).count());
+  if (elapsedMs <= 0) {
     return;
   }
   m_decayedAt = aNow;
-  const double factor = std::exp(-past / kMemoryMs);
+  const double factor = std::exp(-elapsedMs / kTimeConstantMs);
   for (auto& [service, rate] : m_rates) {
     rate.asked *= factor;
     rate.answered *= factor;
@@ -35,14 +35,14 @@
 CallMeter::Asked(ServiceId aService, TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aService].asked += kMillis / kMemoryMs;
+  m_rates[aService].asked += kMillisPerSecond / kTimeConstantMs;
 }
 
 void
 CallMeter::Answered(ServiceId aService, TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aService].answered += kMillis / kMemoryMs;
+  m_rates[aService].answered += kMillisPerSecond / kTimeConstantMs;
 }
 
 const CallRates&
@@ -50,7 +50,7 @@
 {
   Decay(aNow);
   std::erase_if(m_rates, [](const auto& aEntry) {
-    return aEntry.second.asked < kFaded && aEntry.second.answered < kFaded;
+    return aEntry.second.asked < kMinRate && aEntry.second.answered < kMinRate;
   });
   return m_rates;
 }
@@ -61,9 +61,9 @@
   if (aUtilisation < kCallsBusy) {
     return 1.0;
   }
-  const double possible = kCallsUse * aRate.answered;
-  const double needed = aUtilisation * aRate.asked;
-  return possible >= needed ? 1.0 : possible / needed;
+  const double targetRate = kCallsUse * aRate.answered;
+  const double utilisedDemand = aUtilisation * aRate.asked;
+  return targetRate >= utilisedDemand ? 1.0 : targetRate / utilisedDemand;
 }
 
 }
--- a/src/fleet/internal/fairshare.cpp
+++ b/src/fleet/internal/fairshare.cpp
@@ -11,29 +11,29 @@
 
 namespace {
 
-constexpr double kMemoryMs = static_cast<double>(kShareMemory.count());
-constexpr double kMillis = 1000.0;
-//! Rates under this are as good as none, in tokens a second.
-constexpr double kFaded = 1.0;
+constexpr double kTimeConstantMs = static_cast<double>(kShareMemory.count());
+constexpr double kMillisPerSecond = 1000.0;
+//! Rates below this are negligible, in tokens per second.
+constexpr double kMinRate = 1.0;
 
 }
 
 double
 MaxMinLevel(const WorkspaceRates& aRates, double aCapacity)
 {
-  std::vector<double> asked;
-  asked.reserve(aRates.size());
+  std::vector<double> demands;
+  demands.reserve(aRates.size());
   for (const auto& [workspace, rate] : aRates) {
-    asked.push_back(rate.asked);
+    demands.push_back(rate.asked);
   }
-  std::sort(asked.begin(), asked.end());
-  double left = aCapacity;
-  for (std::size_t i = 0; i < asked.size(); ++i) {
-    const double part = left / static_cast<double>(asked.size() - i);
-    if (asked[i] > part) {
-      return part;
+  std::sort(demands.begin(), demands.end());
+  double remaining = aCapacity;
+  for (std::size_t i = 0; i < demands.size(); ++i) {
+    const double share = remaining / static_cast<double>(demands.size() - i);
+    if (demands[i] > share) {
+      return share;
     }
-    left -= asked[i];
+    remaining -= demands[i];
   }
   return std::numeric_limits<double>::infinity();
 }
@@ -41,13 +41,13 @@
 void
 DemandMeter::Decay(TimePoint aNow)
 {
-  const auto past = static_cast<double>((aNow - m_decayedAt).count());
-  if (past <= 0) {
+  const auto elapsedMs = static_cast<double>((aNow - m_decayedAt).count());
+  if (elapsedMs <= 0) {
     return;
   }
   m_decayedAt = aNow;
-  const double factor = std::exp(-past / kMemoryMs);
-  m_reading *= factor;
+  const double factor = std::exp(-elapsedMs / kTimeConstantMs);
+  m_prefillRate *= factor;
   for (auto& [workspace, rate] : m_rates) {
     rate.asked *= factor;
     rate.begun *= factor;
@@ -58,18 +58,18 @@
 DemandMeter::Asked(WorkspaceId aWorkspace, double aCost, TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aWorkspace].asked += aCost * kMillis / kMemoryMs;
+  m_rates[aWorkspace].asked += aCost * kMillisPerSecond / kTimeConstantMs;
 }
 
 void
 DemandMeter::Begun(WorkspaceId aWorkspace,
                    double aCost,
-                   double aUnread,
+                   double aPrefillTokens,
                    TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aWorkspace].begun += aCost * kMillis / kMemoryMs;
-  m_reading += aUnread * kMillis / kMemoryMs;
+  m_rates[aWorkspace].begun += aCost * kMillisPerSecond / kTimeConstantMs;
+  m_prefillRate += aPrefillTokens * kMillisPerSecond / kTimeConstantMs;
 }
 
 const WorkspaceRates&
@@ -77,7 +77,7 @@
 {
   Decay(aNow);
   std::erase_if(m_rates, [](const auto& aEntry) {
-    return aEntry.second.asked < kFaded && aEntry.second.begun < kFaded;
+    return aEntry.second.asked < kMinRate && aEntry.second.begun < kMinRate;
   });
   return m_rates;
 }
--- a/src/fleet/internal/passlevel.cpp
+++ b/src/fleet/internal/passlevel.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-//! Bounds of the correction: the rates that it looks at are two seconds old.
-constexpr double kLeastCorrection = 0.3;
-constexpr double kMostCorrection = 4.0;
+//! Bounds of the correction by the admitted rate, which is averaged over two
+//! seconds and so lags behind.
+constexpr double kMinCorrection = 0.3;
+constexpr double kMaxCorrection = 4.0;
 
 }
 
@@ -18,16 +19,17 @@
 {
 }
 
-//! What passes need not begin: it may still wait too long. So the part follows
-//! what began, for those alike that ask more than the level.
+//! A request that passes the limit may still be refused because its wait is too
+//! long. So the ratio is corrected by the rate that was actually admitted, in
+//! the same way for all workspaces whose demand exceeds the limit.
 double
-PassLevel::PartOf(const WorkspaceRate& aRate) const
+PassLevel::AdmittedRatioOf(const WorkspaceRate& aRate) const
 {
   if (aRate.asked <= m_level) {
     return 1.0;
   }
   const double correction = std::clamp(
-    m_level / std::max(aRate.begun, 1.0), kLeastCorrection, kMostCorrection);
+    m_level / std::max(aRate.begun, 1.0), kMinCorrection, kMaxCorrection);
   return std::min(1.0, correction * m_level / aRate.asked);
 }
 
@@ -39,7 +41,7 @@
     return !aRates.contains(aEntry.first);
   });
   for (const auto& [workspace, rate] : aRates) {
-    m_accounts[workspace].part = PartOf(rate);
+    m_accounts[workspace].admittedRatio = AdmittedRatioOf(rate);
   }
 }
 
@@ -47,11 +49,11 @@
 PassLevel::Pass(WorkspaceId aWorkspace)
 {
   const auto found = m_accounts.find(aWorkspace);
-  if (found == m_accounts.end() || found->second.part >= 1.0) {
+  if (found == m_accounts.end() || found->second.admittedRatio >= 1.0) {
     return true;
   }
   auto& credit = found->second.credit;
-  credit += found->second.part;
+  credit += found->second.admittedRatio;
   if (credit < 1.0) {
     return false;
   }
--- a/src/fleet/passlevel.h
+++ b/src/fleet/passlevel.h
@@ -4,34 +4,38 @@
 
 namespace hemlockgauge::fleet {
 
-//! How much of what each workspace asks may begin, so that all begin together
-//! what the engines can read. Answers the load "far more is asked than can be
-//! read, and routers see each other's work late": a limit on the foreseen wait
-//! alone then lets waves through, for all routers see room at the same time.
-//! The rates asked are sums over the fleet and change slowly, so all routers
-//! agree on the level without knowing what the others send right now. Not for
-//! small fleets: there the waits are known well enough, and the level
-//! is an estimate.
+//! Throttles the requests of each workspace by a limit that is the same at all
+//! routers, so that they admit together as much as the engines can prefill.
+//!
+//! Handles a demand far above the prefill capacity while routers see each
+//! other's requests late. A limit on the predicted wait alone then admits
+//! requests in waves, because all routers see free capacity at the same time.
+//! The demand rates are sums over the fleet and change slowly, so all routers
+//! compute the same limit without knowing what the others send right now. Small
+//! fleets don't use it: there the waits are known well enough, and the limit is
+//! only an estimate.
 class PassLevel
 {
 public:
   PassLevel();
 
-  //! aCapacity: what may begin, in tokens a second as in aRates.
+  //! Recomputes the limit. aRates: sums over the fleet. aCapacity: tokens per
+  //! second to admit, counted as in aRates; infinity: no limit.
   void Update(const WorkspaceRates& aRates, double aCapacity);
-  //! Whether one more request of aWorkspace passes; of one that asks twice
-  //! the level every second one does.
+  //! Whether one more request of aWorkspace is admitted, which uses up its
+  //! credit. A workspace whose demand is twice the limit passes with every
+  //! second request.
   bool Pass(WorkspaceId aWorkspace);
-  //! The most that any workspace may begin, in tokens a second.
+  //! Greatest rate that is admitted of any workspace, in tokens per second.
   double Level() const { return m_level; }
 
 private:
-  double PartOf(const WorkspaceRate& aRate) const;
+  double AdmittedRatioOf(const WorkspaceRate& aRate) const;
 
   struct Account
   {
-    double part = 1;   //!< of what the workspace asks that passes
-    double credit = 0; //!< of a request; one passes at 1
+    double admittedRatio = 1; //!< of the workspace's requests
+    double credit = 0;        //!< in requests; one is admitted at 1
   };
 
   double m_level;
--- a/src/fleet/routetable.cpp
+++ b/src/fleet/routetable.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+//! Returns the host in lower case without its port.
 std::string
 HostKey(std::string_view aHost)
 {
@@ -62,12 +63,12 @@
   if (total == 0) {
     return aRoute.split.empty() ? nullptr : &aRoute.split.front().service;
   }
-  auto at = aKey % total;
+  auto offset = aKey % total;
   for (const auto& part : aRoute.split) {
-    if (at < part.weight) {
+    if (offset < part.weight) {
       return &part.service;
     }
-    at -= part.weight;
+    offset -= part.weight;
   }
   return &aRoute.split.back().service;
 }
--- a/src/fleet/routetable.h
+++ b/src/fleet/routetable.h
@@ -8,15 +8,16 @@
 
 namespace hemlockgauge::fleet {
 
-//! Finds the route of a request: of the routes of its host, the one with
-//! the longest prefix of its path. The time taken grows with the depth of
-//! the path, not with the number of routes.
+//! Finds the route of a request: the one of its host with the longest matching
+//! path prefix. The lookup time grows with the depth of the path, not with the
+//! number of routes.
 class RouteTable
 {
 public:
   explicit RouteTable(ConfigPtr aConfig);
 
-  //! Null if there is none. aHost may carry a port.
+  //! Returns null if no route matches. aHost may contain a port, which is
+  //! ignored.
   const Route* Match(std::string_view aHost, std::string_view aPath) const;
   const ConfigPtr& Config() const { return m_config; }
 
@@ -25,8 +26,9 @@
   std::unordered_map<std::string, const Route*> m_routes;
 };
 
-//! The service that a request of this route goes to. The same aKey always
-//! gets the same service of one version of the route; null if none.
+//! Chooses a service of aRoute by weight. The same aKey always gets the same
+//! service while the route is unchanged. Returns null if the route has no
+//! services.
 const std::string*
 ChooseService(const Route& aRoute, std::uint64_t aKey);
 
