--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,9 +10,9 @@
 Fleet::Fleet(const FleetSettings& aSettings)
   : m_settings(aSettings)
   , m_policy(MakePlacementPolicy(aSettings.placement))
-  , m_shareLevel(std::numeric_limits<double>::infinity())
-  , m_promisedLevel(std::numeric_limits<double>::infinity())
-  , m_excessLevel(std::numeric_limits<double>::infinity())
+  , m_fairShare(std::numeric_limits<double>::infinity())
+  , m_nominalFairShare(std::numeric_limits<double>::infinity())
+  , m_servedFairShare(std::numeric_limits<double>::infinity())
 {
   Reconfigure(aSettings);
 }
@@ -34,7 +34,7 @@
 {
   std::vector<UpstreamStatus> all;
   for (const auto& [id, upstream] : m_upstreams) {
-    const auto told = m_peers.LoadOf(id);
+    const auto remote = m_peers.LoadOf(id);
     UpstreamStatus status;
     status.id = upstream.entry.id;
     status.service = upstream.entry.service;
@@ -42,9 +42,9 @@
     status.evacuated = upstream.evacuated;
     status.coldFor = std::max(upstream.coldUntil - aNow, Duration{});
     status.ejected = upstream.health.IsEjected(aNow);
-    status.unreadTokens = upstream.reading.Unread(aNow) + told.unreadTokens;
-    status.running = upstream.running + told.running;
-    status.readRate = upstream.readRate.TokensPerMs();
+    status.unreadTokens = upstream.prefills.Unread(aNow) + remote.unreadTokens;
+    status.running = upstream.running + remote.running;
+    status.readRate = upstream.prefillRate.TokensPerMs();
     status.failurePart = upstream.health.FailurePart(aNow);
     all.push_back(status);
   }
@@ -58,20 +58,20 @@
     return false;
   }
   m_routes = std::make_unique<RouteTable>(std::move(aConfig));
-  FollowServices();
-  FindLeastMemory();
+  UpdateServiceSettings();
+  FindSmallestKvCache();
   return true;
 }
 
 void
-Fleet::FindLeastMemory()
+Fleet::FindSmallestKvCache()
 {
-  m_leastMemory = 0;
+  m_smallestKvCache = 0;
   for (const auto& [name, service] : m_routes->Config()->services) {
     if (service.IsEngine() && service.memoryTokens > 0) {
-      m_leastMemory = m_leastMemory > 0
-                        ? std::min(m_leastMemory, service.memoryTokens)
-                        : service.memoryTokens;
+      m_smallestKvCache = m_smallestKvCache > 0
+                            ? std::min(m_smallestKvCache, service.memoryTokens)
+                            : service.memoryTokens;
     }
   }
 }
@@ -101,17 +101,18 @@
     upstream.entry = entry;
     const bool evacuated = m_evacuations.Contains(entry.zone);
     if (upstream.evacuated && !evacuated) {
-      //! NOTE it may be cold by now; its next heartbeats say so.
+      //! NOTE the upstream may have become cold without work; only its next
+      //! heartbeats report it, so it counts as cold until then.
       upstream.coldUntil =
         std::max(upstream.coldUntil, aNow + m_settings.lapseAfter);
     }
     upstream.evacuated = evacuated;
   }
-  FollowServices();
+  UpdateServiceSettings();
 }
 
 void
-Fleet::FollowServices()
+Fleet::UpdateServiceSettings()
 {
   for (auto& [id, upstream] : m_upstreams) {
     const auto* service = FindService(upstream.entry.service);
@@ -130,21 +131,21 @@
 }
 
 Fleet::Upstream*
-Fleet::Find(UpstreamId aUpstream)
+Fleet::FindUpstream(UpstreamId aUpstream)
 {
   const auto found = m_upstreams.find(aUpstream);
   return found == m_upstreams.end() ? nullptr : &found->second;
 }
 
 void
-Fleet::EndReading(Upstream* aUpstream, AttemptId aId, Attempt& aAttempt)
+Fleet::EndPrefill(Upstream* aUpstream, AttemptId aId, Attempt& aAttempt)
 {
-  if (!aAttempt.waitsForFirst) {
+  if (!aAttempt.awaitsFirstToken) {
     return;
   }
-  aAttempt.waitsForFirst = false;
+  aAttempt.awaitsFirstToken = false;
   if (aUpstream != nullptr) {
-    aUpstream->reading.Done(aId);
+    aUpstream->prefills.Done(aId);
   }
 }
 
@@ -152,40 +153,41 @@
 Fleet::FirstToken(AttemptId aAttempt, TimePoint aNow)
 {
   const auto found = m_attempts.find(aAttempt);
-  if (found == m_attempts.end() || !found->second.waitsForFirst) {
+  if (found == m_attempts.end() || !found->second.awaitsFirstToken) {
     return;
   }
   auto& attempt = found->second;
-  auto* upstream = Find(attempt.upstream);
+  auto* upstream = FindUpstream(attempt.upstream);
   if (upstream != nullptr && upstream->isEngine) {
-    const auto took = static_cast<double>((aNow - attempt.sentAt).count());
-    upstream->readRate.Learn(attempt.tokensAhead, took);
-    m_forecastError.Learn(attempt.foreseenMs, took);
+    const auto elapsedMs = static_cast<double>((aNow - attempt.sentAt).count());
+    upstream->prefillRate.Learn(attempt.tokensAhead, elapsedMs);
+    m_forecastError.Learn(attempt.foreseenMs, elapsedMs);
   }
-  EndReading(upstream, aAttempt, attempt);
+  EndPrefill(upstream, aAttempt, attempt);
 }
 
 bool
 Fleet::MayEject(const Upstream& aUpstream, TimePoint aNow) const
 {
-  std::size_t all = 0;
-  std::size_t out = 1;
+  std::size_t total = 0;
+  std::size_t ejected = 1;
   for (const auto& [id, upstream] : m_upstreams) {
     if (upstream.entry.service != aUpstream.entry.service ||
         upstream.evacuated) {
       continue;
     }
-    all++;
-    out += upstream.health.IsEjected(aNow) ? 1 : 0;
+    total++;
+    ejected += upstream.health.IsEjected(aNow) ? 1 : 0;
   }
-  return static_cast<double>(out) <= kEjectedMost * static_cast<double>(all);
+  return static_cast<double>(ejected) <=
+         kEjectedMost * static_cast<double>(total);
 }
 
 void
 Fleet::CountAnswer(const Upstream& aUpstream, TimePoint aNow)
 {
   if (!aUpstream.isEngine) {
-    m_calls.Answered(ServiceIdOf(aUpstream.entry.service), aNow);
+    m_callMeter.Answered(ServiceIdOf(aUpstream.entry.service), aNow);
   }
 }
 
@@ -198,10 +200,10 @@
   }
   auto attempt = found->second;
   m_attempts.erase(found);
-  auto* upstream = Find(attempt.upstream);
-  EndReading(upstream, aAttempt, attempt);
-  const bool isKnown = attempt.fingerprint != RequestFingerprint{};
-  if (isKnown && aEnd == AttemptEnd::Answered) {
+  auto* upstream = FindUpstream(attempt.upstream);
+  EndPrefill(upstream, aAttempt, attempt);
+  const bool hasFingerprint = attempt.fingerprint != RequestFingerprint{};
+  if (hasFingerprint && aEnd == AttemptEnd::Answered) {
     m_quarantine.EndedWell(attempt.fingerprint, aNow);
   }
   if (upstream == nullptr) {
@@ -211,11 +213,12 @@
   switch (aEnd) {
     case AttemptEnd::Answered: {
       upstream->health.Succeeded(aNow);
-      const auto took = static_cast<double>((aNow - attempt.sentAt).count());
+      const auto elapsedMs =
+        static_cast<double>((aNow - attempt.sentAt).count());
       CountAnswer(*upstream, aNow);
-      const double work = took / attempt.rounds;
-      upstream->time.Learn(work);
-      m_serviceTimes[upstream->entry.service].Learn(work);
+      const double serviceMs = elapsedMs / attempt.rounds;
+      upstream->serviceTime.Learn(serviceMs);
+      m_serviceTimes[upstream->entry.service].Learn(serviceMs);
       return false;
     }
     case AttemptEnd::AnsweredFailure:
@@ -223,8 +226,8 @@
       upstream->health.AnsweredFailure(aNow);
       return false;
     case AttemptEnd::Broken:
-      //! NOTE one that leaves ends its connections without a crash.
-      if (isKnown && !upstream->entry.draining) {
+      //! NOTE a draining upstream closes its connections without a crash.
+      if (hasFingerprint && !upstream->entry.draining) {
         m_crashChecks.Broke(attempt.upstream, attempt.fingerprint, aNow);
       }
       return upstream->health.Failed(aNow, MayEject(*upstream, aNow));
@@ -242,10 +245,10 @@
 {
   std::vector<UpstreamToCheck> due;
   for (const auto id : m_crashChecks.TakeDue(aNow)) {
-    if (const auto* upstream = Find(id)) {
+    if (const auto* upstream = FindUpstream(id)) {
       due.push_back({ id, upstream->entry.address });
     } else {
-      m_crashChecks.Take(id); // it left meanwhile
+      m_crashChecks.Take(id); // the upstream is no longer listed
     }
   }
   return due;
@@ -262,7 +265,7 @@
       m_quarantine.Crashed(request, aUpstream, aNow);
     }
   }
-  const auto* upstream = Find(aUpstream);
+  const auto* upstream = FindUpstream(aUpstream);
   return { upstream != nullptr ? upstream->entry.id : "",
            aResult,
            broken.size() };
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -36,48 +36,50 @@
 
 namespace hemlockgauge::fleet {
 
-//! The bounds and sizes that this router was told.
+//! Settings of this router's decision logic.
 struct FleetSettings
 {
   std::string router;
   std::string zone;
-  std::uint64_t life = 0;
+  std::uint64_t life = 0; //!< differs between runs of this router's process
   PlacementKind placement = PlacementKind::PrefixAffinity;
-  Duration revocationBound{}; //!< 0: withdrawn keys have no bound
+  //! Time within which a withdrawn key must stop working; 0: no bound.
+  Duration revocationBound{};
+  //! Outage of the store after which upstreams' entries in it expire.
   Duration lapseAfter{ 2400 };
   double retryRatio = 0.2;
   double retrySlack = 20;
   Duration retryWindow{ 10000 };
   ColdLimit coldLimit{};
-  //! By availability zone; one that isn't named lies in no region.
+  //! Regions by availability zone. A zone without an entry is in no region.
   std::map<std::string, std::string> regionOfZone{};
 };
 
-//! A request that looks for a place.
+//! A request that needs an upstream.
 struct PlaceRequest
 {
   const Route* route = nullptr;
   const Work* work = nullptr;
   std::string service;
   WorkspaceId workspace{};
-  //! Where requests of its workspace may run; none: anywhere.
+  //! Regions in which its workspace's requests may run; null: all.
   const std::vector<std::string>* workspaceRegions = nullptr;
-  std::uint64_t key = 0; //!< differs between requests
+  std::uint64_t key = 0; //!< differs between requests; seeds random draws
   RequestFingerprint fingerprint{};
-  Duration waited{};
-  Duration timeLeft{};
-  std::vector<UpstreamId> avoid; //!< tried already
-  bool admitted = false;         //!< was taken before; only its place is sought
-  //! How long this router has had something to do without a rest.
+  Duration waited{};             //!< since its arrival
+  Duration timeLeft{};           //!< until its deadline or its route's timeout
+  std::vector<UpstreamId> avoid; //!< upstreams that it was sent to already
+  bool admitted = false;         //!< admitted before; needs only an upstream
+  //! Time since this router's event loop was last idle.
   Duration busyFor{};
 };
 
 enum class PlaceOutcome : std::uint8_t
 {
   Placed,
-  Refused,     //!< could not be answered in time
-  Quarantined, //!< upstreams crash under it
-  NoUpstream   //!< none of the service may get work
+  Refused,     //!< would not be answered in time
+  Quarantined, //!< upstreams crashed while they ran it
+  NoUpstream   //!< no upstream of the service is eligible
 };
 inline constexpr auto kPlaceOutcomeNames =
   base::MakeEnumNames<PlaceOutcome>("placed",
@@ -87,7 +89,8 @@
 
 using AttemptId = std::uint64_t;
 
-//! Where a request goes, or why not, with what decided it.
+//! The upstream chosen for a request or the reason why there is none, and the
+//! values that the decision was based on.
 struct PlaceResult
 {
   PlaceOutcome outcome = PlaceOutcome::NoUpstream;
@@ -96,48 +99,49 @@
   base::Address address;
   UpstreamId upstream{};
   Duration retryAfter{};
-  //! Why no upstream of its service may get it, of the one that is nearest to
-  //! getting work; Fits where there is one.
+  //! Best suitability over all upstreams; Fits if any upstream is eligible.
   Suitability suitability = Suitability::Unlisted;
-  double foreseenMs = 0;
-  double unreadTokens = 0;
-  double missingTokens = 0;
-  //! Where the upstream gets copiedTokens of the prompt from instead of
-  //! reading them; port 0: nowhere.
+  double foreseenMs = 0;    //!< until the first token or the answer
+  double unreadTokens = 0;  //!< still to be prefilled there for other requests
+  double missingTokens = 0; //!< of the prompt, to be prefilled there
+  //! Upstream that copiedTokens of the prompt are copied from instead of being
+  //! prefilled; port 0: none.
   base::Address copyFrom;
   double copiedTokens = 0;
-  std::uint32_t running = 0;
-  std::size_t crashes = 0; //!< upstreams that crashed under the request
-  int rank = 0;
-  bool sameZone = false; //!< the upstream is in this router's zone
+  std::uint32_t running = 0; //!< requests at the upstream, of all routers
+  std::size_t crashes = 0;   //!< upstreams that crashed while they ran it
+  int rank = 0;              //!< of the upstream in the prefix's order
+  bool sameZone = false;     //!< the upstream is in this router's zone
   bool insideShare = true;
   bool insidePromise = true;   //!< see AdmissionInput
   bool starved = false;        //!< see AdmissionInput
   bool passesLevel = true;     //!< see PassLevel
   bool passesCallLevel = true; //!< see PassingPart
-  bool routerBusy = false;     //!< refused for that, before a place was sought
+  bool routerBusy = false;     //!< refused since this router is busy
   double excess = 0;           //!< see AdmissionInput
-  WorkspaceRate rate;          //!< of its workspace, as the fleet knows it
-  double mostBegun = 0;        //!< of any workspace, as the fleet knows it
-  //! Its workspace gets far less than the one that gets most, and asks more.
+  WorkspaceRate rate;          //!< of its workspace, over the fleet
+  double mostBegun = 0;        //!< greatest admitted rate of any workspace
+  //! Its workspace gets less than kFarBehind of what the best served workspace
+  //! gets, while demand is left unmet.
   bool farBehind = false;
-  Duration peersAge{}; //!< since the oldest report that counts came
-  Duration loadAge{};  //!< of the loads of others, in the mean
+  Duration peersAge{}; //!< age of the oldest report that is in use
+  Duration loadAge{};  //!< mean age of the other routers' loads
 
-  //! Whether it goes before what others get beyond their shares.
+  //! Whether it takes precedence over requests beyond their workspaces' shares.
   bool IsOwed() const { return insideShare || (farBehind && passesLevel); }
-  //! Whether it is worth a look beyond the engines of its prefix.
+  //! Whether engines beyond those of its prefix are tried before it is refused.
   bool IsPromised() const { return IsOwed() || insidePromise; }
 };
 
+//! How an attempt to run a request at an upstream ended.
 enum class AttemptEnd : std::uint8_t
 {
   Answered,
-  AnsweredFailure, //!< the upstream's own failure
+  AnsweredFailure, //!< the upstream answered that it failed
   Refused,         //!< the upstream did not run it
-  Unreachable,     //!< takes no connection
-  Broken,          //!< reset, closed, wrong bytes
-  CallerGone
+  Unreachable,     //!< the upstream accepted no connection
+  Broken,          //!< connection reset or closed, or a malformed answer
+  CallerGone       //!< the caller closed its connection
 };
 inline constexpr auto kAttemptEndNames =
   base::MakeEnumNames<AttemptEnd>("answered",
@@ -147,44 +151,48 @@
                                   "broken",
                                   "caller-gone");
 
-//! An upstream whose connections broke under requests.
+//! An upstream whose connections broke while it ran requests. A check decides
+//! whether it crashed.
 struct UpstreamToCheck
 {
   UpstreamId upstream{};
   base::Address address;
 };
 
-//! What a look at one has told.
+//! Result of a check of an upstream.
 struct CheckNotice
 {
-  std::string upstream;
+  std::string upstream; //!< its id; empty if it is no longer listed
   quarantine::CheckResult result = quarantine::CheckResult::Unknown;
-  std::size_t runsBroken = 0; //!< requests that it did not end
+  std::size_t runsBroken = 0; //!< requests whose connections to it broke
 };
 
-//! Everything that is decided about requests: no socket, clock, thread or
-//! file; time is told in each call. One object a router, one thread.
+//! Decides about requests: admission, placement, retries and quarantine. Uses
+//! no sockets, clocks, threads or files; callers pass the time. A router has
+//! one object, which must be used by one thread only.
 class Fleet
 {
 public:
   explicit Fleet(const FleetSettings& aSettings);
 
-  //! Takes over the bounds; who and where this router is stays.
+  //! Applies changed limits. The router's name, zone and life and the placement
+  //! policy stay as they are.
   void Reconfigure(const FleetSettings& aSettings);
 
-  // ---- what the platform says
-  //! Returns false for a version that is not newer: nothing goes back.
+  // ---- state of the platform
+  //! Applies a configuration. Returns false and ignores it if its version is
+  //! not newer than the one in force.
   bool SetConfig(ConfigPtr aConfig);
   const RouteTable* Routes() const { return m_routes.get(); }
   std::uint64_t ConfigVersion() const;
-  //! Whether no other router told a newer version than the one in force.
+  //! Whether no other router reported a newer version than the one in force.
   bool KnowsNewestConfig() const
   {
-    return ConfigVersion() >= m_newestConfigTold;
+    return ConfigVersion() >= m_newestReportedConfig;
   }
   UpstreamList& Upstreams() { return m_list; }
   const UpstreamList& Upstreams() const { return m_list; }
-  //! To be called after each change of the list or of the evacuations.
+  //! Must be called after each change of Upstreams() or Evacuated().
   void FollowUpstreams(TimePoint aNow);
   Evacuations& Evacuated() { return m_evacuations; }
   const Evacuations& Evacuated() const { return m_evacuations; }
@@ -193,21 +201,24 @@
   const Freshness& ConfigFreshness() const { return m_freshness; }
 
   // ---- requests
-  //! Counts what a workspace asks, once for each request.
+  //! Counts a request as demand. Must be called once per request.
   void Arrived(const PlaceRequest& aRequest, TimePoint aNow);
+  //! Decides whether a request is admitted and which upstream it is sent to. If
+  //! the outcome is Placed, an attempt starts, for which Ended must be called.
   PlaceResult Place(const PlaceRequest& aRequest, TimePoint aNow);
+  //! Records that the first token of an attempt's answer arrived.
   void FirstToken(AttemptId aAttempt, TimePoint aNow);
-  //! Returns true if this end takes its upstream out for a while.
+  //! Records the end of an attempt. Returns true if it ejects the upstream.
   bool Ended(AttemptId aAttempt, AttemptEnd aEnd, TimePoint aNow);
   RetryBudget& Retries() { return m_retries; }
-  // ---- requests under which upstreams crash
-  //! Upstreams to be looked at now, whether they still listen; the result of
-  //! each is to be told by Checked.
+  // ---- requests that crash upstreams
+  //! Upstreams to check now, whether they still listen. Checked must be called
+  //! with the result of each.
   std::vector<UpstreamToCheck> UpstreamsToCheck(TimePoint aNow);
   CheckNotice Checked(UpstreamId aUpstream,
                       quarantine::CheckResult aResult,
                       TimePoint aNow);
-  //! What a router should know that has just started.
+  //! All crash reports, for a router that has just started.
   quarantine::CrashNews CrashNewsForStart(TimePoint aNow)
   {
     return m_quarantine.TellInTurn(aNow);
@@ -220,21 +231,26 @@
 
   // ---- other routers
   void SetPlan(const ExchangePlan& aPlan);
+  //! Applies a report of another router. Returns false if it is older than the
+  //! reports known so far.
   bool Take(const PeerReport& aReport, TimePoint aNow);
-  //! This router's own; to be followed by the sums if it is a hub. aBusyFor:
-  //! how long this router has had something to do without a rest.
+  //! Makes this router's own report. A hub sends its sums afterwards. aBusyFor:
+  //! time since this router's event loop was last idle.
   PeerReport Tell(Duration aBusyFor, TimePoint aNow);
-  //! The sums of what is known now; aOwn: this router's last own report.
+  //! Makes a report with the sum of all reports of the group, the zone or the
+  //! fleet. aOwn: this router's last own report.
   PeerReport TellGroup(const PeerReport& aOwn, TimePoint aNow);
   PeerReport TellZone(const PeerReport& aOwn, TimePoint aNow);
   PeerReport TellFleet(const PeerReport& aOwn, TimePoint aNow);
   const PeerView& Peers() const { return m_peers; }
-  //! Part of the fleet's routers that have no rest, this one among them.
+  //! Ratio of the fleet's routers that are busy. Counts this router as busy.
   double BusyPart() const;
 
+  //! Updates limits and drops outdated state. Must be called once per
+  //! kReportPeriod.
   void Tick(TimePoint aNow);
 
-  //! For people: one upstream as this router sees it.
+  //! An upstream as this router sees it, for status pages.
   struct UpstreamStatus
   {
     std::string id;
@@ -243,10 +259,10 @@
     bool evacuated = false;
     Duration coldFor{};
     bool ejected = false;
-    double unreadTokens = 0; //!< of all routers
-    std::uint32_t running = 0;
-    double readRate = 0; //!< tokens a ms
-    double failurePart = 0;
+    double unreadTokens = 0;   //!< still to be prefilled, of all routers
+    std::uint32_t running = 0; //!< requests of all routers
+    double readRate = 0;       //!< prefill speed in tokens per ms
+    double failurePart = 0;    //!< of its answers, 0 to 1
   };
   std::vector<UpstreamStatus> Status(TimePoint aNow) const;
 
@@ -258,81 +274,84 @@
     bool evacuated = false;
     double coldPerSecond = 0; //!< see Service
     TimePoint coldUntil{ TimePoint::min() / 2 };
-    ReadRate readRate;
-    UpstreamTime time;
+    ReadRate prefillRate;
+    UpstreamTime serviceTime;
     UpstreamHealth health;
-    ReadingQueue reading;      //!< sent from here
-    std::uint32_t running = 0; //!< sent from here
+    ReadingQueue prefills;     //!< of requests from this router
+    std::uint32_t running = 0; //!< requests from this router
   };
 
   struct Attempt
   {
     UpstreamId upstream{};
     RequestFingerprint fingerprint{};
-    double tokensAhead = 0; //!< unread there when it was sent, its own too
-    double foreseenMs = 0;  //!< to its first token
-    double rounds = 1;      //!< see Candidate
+    //! Tokens to be prefilled at the upstream before its first token, those of
+    //! its own prompt included.
+    double tokensAhead = 0;
+    double foreseenMs = 0; //!< until its first token
+    double rounds = 1;     //!< see Candidate::Rounds
     TimePoint sentAt{};
-    bool waitsForFirst = true;
+    bool awaitsFirstToken = true;
   };
 
   Suitability SuitabilityOf(const PlaceRequest& aRequest,
                             UpstreamId aId,
                             const Upstream& aUpstream,
                             TimePoint aNow) const;
-  //! Whether it may get anything new at all.
-  bool TakesWork(const Upstream& aUpstream, TimePoint aNow) const;
+  //! Whether the upstream may get any new requests.
+  bool AcceptsWork(const Upstream& aUpstream, TimePoint aNow) const;
   bool IsCold(const Upstream& aUpstream, TimePoint aNow) const;
-  Duration UntilWarm(const PlaceRequest& aRequest, TimePoint aNow) const;
-  std::vector<UpstreamId> Eligible(const PlaceRequest& aRequest,
-                                   PlaceResult& aResult,
-                                   TimePoint aNow) const;
-  void FollowServices();
+  Duration TimeUntilWarm(const PlaceRequest& aRequest, TimePoint aNow) const;
+  std::vector<UpstreamId> EligibleUpstreams(const PlaceRequest& aRequest,
+                                            PlaceResult& aResult,
+                                            TimePoint aNow) const;
+  void UpdateServiceSettings();
   const Service* FindService(const std::string& aName) const;
-  std::vector<PrefixHolder> HoldersFor(const PlaceRequest& aRequest,
-                                       TimePoint aNow) const;
+  std::vector<PrefixHolder> FindPrefixHolders(const PlaceRequest& aRequest,
+                                              TimePoint aNow) const;
   Candidate MakeCandidate(const PlaceRequest& aRequest,
                           UpstreamId aUpstream,
                           const std::vector<PrefixHolder>& aHolders,
                           TimePoint aNow) const;
-  UnseenLoad Unseen(const PlaceRequest& aRequest,
-                    const std::vector<Candidate>& aCandidates,
-                    TimePoint aNow) const;
-  void SetCallLevels(TimePoint aNow);
-  void FindLeastMemory();
-  std::vector<Candidate> Candidates(const PlaceRequest& aRequest,
-                                    std::vector<UpstreamId> aEligible,
-                                    const std::vector<PrefixHolder>& aHolders,
-                                    const PlacementPolicy& aPolicy,
-                                    std::uint64_t aKey,
+  UnseenLoad EstimateUnreportedLoad(const PlaceRequest& aRequest,
+                                    const std::vector<Candidate>& aCandidates,
                                     TimePoint aNow) const;
-  bool Withhold(const PlaceRequest& aRequest,
-                PlaceResult& aResult,
-                TimePoint aNow) const;
-  PlaceResult Entitlement(const PlaceRequest& aRequest, TimePoint aNow);
-  double ReadingCapacity(TimePoint aNow) const;
-  double Room(double aBegun, TimePoint aNow) const;
-  void SetLevels(TimePoint aNow);
-  void AgePrefixes(TimePoint aNow);
-  double KeptPrompts(double aRunning) const;
-  bool FitsMemory(const Work& aWork) const;
-  void TakeProof(const PeerReport& aReport);
-  void KeepUses(const PeerReport& aReport);
-  PeerReport Renewed(const PeerReport& aOwn, TimePoint aNow) const;
-  Admission Judge(const PlaceRequest& aRequest,
-                  const Candidate& aCandidate,
-                  const UnseenLoad& aUnseen,
-                  const PlaceResult& aResult) const;
+  void UpdateCallThrottle(TimePoint aNow);
+  void FindSmallestKvCache();
+  std::vector<Candidate> MakeCandidates(
+    const PlaceRequest& aRequest,
+    std::vector<UpstreamId> aEligible,
+    const std::vector<PrefixHolder>& aHolders,
+    const PlacementPolicy& aPolicy,
+    std::uint64_t aKey,
+    TimePoint aNow) const;
+  bool IsQuarantined(const PlaceRequest& aRequest,
+                     PlaceResult& aResult,
+                     TimePoint aNow) const;
+  PlaceResult EvaluateEntitlement(const PlaceRequest& aRequest, TimePoint aNow);
+  double PrefillCapacity(TimePoint aNow) const;
+  double AdmissionCapacity(double aAdmittedRate, TimePoint aNow) const;
+  void UpdateFairShares(TimePoint aNow);
+  void AgePrefixCache(TimePoint aNow);
+  double PromptCacheTokens(double aRunning) const;
+  bool FitsKvCache(const Work& aWork) const;
+  void ApplyConfigProof(const PeerReport& aReport);
+  void CollectUses(const PeerReport& aReport);
+  PeerReport WithCurrentAges(const PeerReport& aOwn, TimePoint aNow) const;
+  Admission DecideAdmission(const PlaceRequest& aRequest,
+                            const Candidate& aCandidate,
+                            const UnseenLoad& aUnseen,
+                            const PlaceResult& aResult) const;
   WorkspaceRate RateOf(WorkspaceId aWorkspace) const;
   bool IsStarved(WorkspaceId aWorkspace) const;
-  AttemptId Begin(const PlaceRequest& aRequest,
-                  UpstreamId aUpstream,
-                  const Candidate& aCandidate,
-                  TimePoint aNow);
+  AttemptId StartAttempt(const PlaceRequest& aRequest,
+                         UpstreamId aUpstream,
+                         const Candidate& aCandidate,
+                         TimePoint aNow);
   void CountAnswer(const Upstream& aUpstream, TimePoint aNow);
   bool MayEject(const Upstream& aUpstream, TimePoint aNow) const;
-  Upstream* Find(UpstreamId aUpstream);
-  void EndReading(Upstream* aUpstream, AttemptId aId, Attempt& aAttempt);
+  Upstream* FindUpstream(UpstreamId aUpstream);
+  void EndPrefill(Upstream* aUpstream, AttemptId aId, Attempt& aAttempt);
 
   FleetSettings m_settings;
   PlacementPolicy m_policy;
@@ -346,34 +365,39 @@
   quarantine::Quarantine m_quarantine;
   PeerView m_peers;
   PrefixMap m_prefixes;
-  std::optional<TimePoint> m_agedAt; //!< m_prefixes
-  double m_leastMemory = 0;          //!< of any service's engines; 0: not said
-  MemoryUse m_memoryUse;
-  DemandMeter m_demand;
-  CallMeter m_calls;
-  CallLevels m_callLevels;
+  std::optional<TimePoint> m_prefixesAgedAt; //!< last AgePrefixCache
+  //! Smallest KV cache of any service's engines, in tokens; 0: not configured.
+  double m_smallestKvCache = 0;
+  MemoryUse m_kvCacheUse;
+  DemandMeter m_demandMeter;
+  CallMeter m_callMeter;
+  CallLevels m_callThrottle;
   WorkspaceRates m_fleetRates;
-  double m_shareLevel;       //!< the most that a workspace is owed
-  double m_promisedLevel;    //!< the same by what is promised alone
-  double m_mostBegun = 0;    //!< of any workspace
-  bool m_othersWait = false; //!< see AdmissionInput
-  double m_excessLevel; //!< the most if all that is served were split alike
-  PassLevel m_passLevel;
+  //! Max-min fair share of a workspace, in tokens per second, of the usable
+  //! capacity.
+  double m_fairShare;
+  double m_nominalFairShare;    //!< the same, of the nominal capacity
+  double m_maxAdmittedRate = 0; //!< greatest admitted rate of any workspace
+  bool m_othersWait = false;    //!< see AdmissionInput
+  //! Max-min fair share of all work that is being served.
+  double m_servedFairShare;
+  PassLevel m_workspaceThrottle;
   ForecastError m_forecastError;
-  bool m_newsIsOld = false; //!< reports come through hubs
+  bool m_isLargeFleet =
+    false; //!< reports arrive through hubs, so they are older
   std::uint64_t m_group = 0;
-  bool m_sumsUp = false;                //!< for others: see ExchangePlan
-  bool m_speaksForZone = false;         //!< see ExchangePlan
-  std::vector<PrefixUse> m_usesHere;    //!< since the last report
-  std::vector<PrefixUse> m_usesOfGroup; //!< since the last group sum
-  std::vector<PrefixUse> m_usesOfZone;  //!< since the last zone sum
-  std::vector<PrefixUse> m_usesOfFleet; //!< since the last fleet sum
+  bool m_isSummingHub = false;        //!< see ExchangePlan::SumsUp
+  bool m_isZoneSpeaker = false;       //!< exchanges sums with other zones
+  std::vector<PrefixUse> m_ownUses;   //!< since the last own report
+  std::vector<PrefixUse> m_groupUses; //!< since the last group sum
+  std::vector<PrefixUse> m_zoneUses;  //!< since the last zone sum
+  std::vector<PrefixUse> m_fleetUses; //!< since the last fleet sum
   std::map<UpstreamId, Upstream> m_upstreams;
   std::map<std::string, ServiceTime> m_serviceTimes;
   std::unordered_map<AttemptId, Attempt> m_attempts;
   AttemptId m_nextAttempt = 1;
   std::uint64_t m_reportSequence = 0;
-  std::uint64_t m_newestConfigTold = 0; //!< by other routers
+  std::uint64_t m_newestReportedConfig = 0; //!< newest version at other routers
 };
 
 }
--- a/src/fleet/internal/fleetlevels.cpp
+++ b/src/fleet/internal/fleetlevels.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 #include <limits>
 
-//! What follows from the sums over the fleet, each period.
+//! Limits that are recomputed from the sums over the fleet in each report
+//! interval.
 namespace hemlockgauge::fleet {
 
 namespace {
@@ -12,50 +13,55 @@
 
 }
 
-//! One age for all services, that of the smallest engines: a prefix that is
-//! taken for gone too early is copied or read once more; one that is gone and
-//! believed makes a request late.
+//! Ages the cached prefixes by the tokens that entered a mean engine's KV
+//! cache. All services use the lifetime of the smallest engines: a prefix that
+//! is considered evicted too early costs one more copy or prefill, but one that
+//! is expected and gone makes a request late.
 void
-Fleet::AgePrefixes(TimePoint aNow)
+Fleet::AgePrefixCache(TimePoint aNow)
 {
-  const auto past = aNow - m_agedAt.value_or(aNow);
-  m_agedAt = aNow;
+  const auto elapsed = aNow - m_prefixesAgedAt.value_or(aNow);
+  m_prefixesAgedAt = aNow;
   double engines = 0;
   double running = 0;
   for (const auto& [id, upstream] : m_upstreams) {
-    if (upstream.isEngine && TakesWork(upstream, aNow)) {
+    if (upstream.isEngine && AcceptsWork(upstream, aNow)) {
       engines++;
       running += upstream.running + m_peers.LoadOf(id).running;
     }
   }
   if (engines > 0) {
-    const double filled = (m_demand.Reading() + m_peers.Reading()) *
-                          m_memoryUse.FilledPerRead() *
-                          static_cast<double>(past.count()) / kMillisPerSecond;
-    m_prefixes.Advance(filled / engines);
-    m_prefixes.SetKept(KeptPrompts(running / engines));
+    const double newTokens = (m_demandMeter.Reading() + m_peers.Reading()) *
+                             m_kvCacheUse.FilledPerRead() *
+                             static_cast<double>(elapsed.count()) /
+                             kMillisPerSecond;
+    m_prefixes.Advance(newTokens / engines);
+    m_prefixes.SetKept(PromptCacheTokens(running / engines));
   }
   m_prefixes.Forget();
 }
 
-//! Engines refuse what is larger than their memory, so what a caller says of
-//! such a request tells nothing of the others.
+//! Whether a request fits into the KV cache of the smallest engines. Engines
+//! refuse larger requests, so their token counts, which callers state, must not
+//! count towards the mean of all requests.
 bool
-Fleet::FitsMemory(const Work& aWork) const
+Fleet::FitsKvCache(const Work& aWork) const
 {
-  const double memory = m_leastMemory > 0 ? m_leastMemory : kPrefixKeptUnsaid;
-  return static_cast<double>(aWork.promptTokens) + aWork.outputTokens <= memory;
+  const double limit =
+    m_smallestKvCache > 0 ? m_smallestKvCache : kPrefixKeptUnsaid;
+  return static_cast<double>(aWork.promptTokens) + aWork.outputTokens <= limit;
 }
 
-//! aRunning: requests at an engine, in the mean.
+//! Tokens of cached prompts that an engine holds. aRunning: mean number of
+//! requests that run at an engine.
 double
-Fleet::KeptPrompts(double aRunning) const
+Fleet::PromptCacheTokens(double aRunning) const
 {
-  if (m_leastMemory <= 0) {
+  if (m_smallestKvCache <= 0) {
     return kPrefixKeptUnsaid;
   }
-  return std::max(m_leastMemory - aRunning * m_memoryUse.TokensOfRunning(),
-                  kPromptsKeptLeast * m_leastMemory);
+  return std::max(m_smallestKvCache - aRunning * m_kvCacheUse.TokensOfRunning(),
+                  kPromptsKeptLeast * m_smallestKvCache);
 }
 
 void
@@ -63,26 +69,26 @@
 {
   m_peers.Forget(aNow);
   m_quarantine.Tick(aNow);
-  AgePrefixes(aNow);
+  AgePrefixCache(aNow);
   m_retries.SetRouters(m_peers.Routers() + 1);
-  m_fleetRates = m_demand.Rates(aNow);
+  m_fleetRates = m_demandMeter.Rates(aNow);
   for (const auto& [workspace, rate] : m_peers.Rates()) {
     auto& sum = m_fleetRates[workspace];
     sum.asked += rate.asked;
     sum.begun += rate.begun;
   }
   m_warmUp.Forget(aNow);
-  SetLevels(aNow);
-  SetCallLevels(aNow);
+  UpdateFairShares(aNow);
+  UpdateCallThrottle(aNow);
 }
 
-//! How much of what plain services are asked may begin.
+//! Updates the throttle of calls to plain services.
 void
-Fleet::SetCallLevels(TimePoint aNow)
+Fleet::UpdateCallThrottle(TimePoint aNow)
 {
   std::map<ServiceId, ServicePlaces> services;
   for (const auto& [id, upstream] : m_upstreams) {
-    if (upstream.isEngine || !TakesWork(upstream, aNow)) {
+    if (upstream.isEngine || !AcceptsWork(upstream, aNow)) {
       continue;
     }
     const auto running = upstream.running + m_peers.LoadOf(id).running;
@@ -90,76 +96,81 @@
     places.taken += std::min(running, upstream.entry.slots);
     places.all += upstream.entry.slots;
   }
-  auto rates = m_calls.Rates(aNow);
+  auto rates = m_callMeter.Rates(aNow);
   for (const auto& [service, rate] : m_peers.Calls()) {
     auto& sum = rates[service];
     sum.asked += rate.asked;
     sum.answered += rate.answered;
   }
-  m_callLevels.Update(services, rates);
+  m_callThrottle.Update(services, rates);
 }
 
-//! What all engines together can read, in tokens a second.
+//! Prefill speed of all engines together, in tokens per second.
 double
-Fleet::ReadingCapacity(TimePoint aNow) const
+Fleet::PrefillCapacity(TimePoint aNow) const
 {
   double perMs = 0;
   for (const auto& [id, upstream] : m_upstreams) {
-    if (upstream.isEngine && TakesWork(upstream, aNow)) {
-      perMs += upstream.readRate.TokensPerMs();
+    if (upstream.isEngine && AcceptsWork(upstream, aNow)) {
+      perMs += upstream.prefillRate.TokensPerMs();
     }
   }
   return perMs * kMillisPerSecond;
 }
 
-//! A workspace is owed its part of what is promised to all, and no more than
-//! its part of what the engines can read: where engines are lost, or more is
-//! promised than they ever could, each would be inside its share otherwise and
-//! all would wait, the smallest workspaces too.
+//! Updates the fair shares. A workspace is entitled to its share of the nominal
+//! capacity, but to no more than its share of what the engines can prefill.
+//! Otherwise, if engines are lost or the nominal capacity exceeds the real one,
+//! all workspaces would be within their shares and all would wait, the smallest
+//! ones too.
 void
-Fleet::SetLevels(TimePoint aNow)
+Fleet::UpdateFairShares(TimePoint aNow)
 {
-  m_shareLevel = std::numeric_limits<double>::infinity();
-  m_promisedLevel = std::numeric_limits<double>::infinity();
-  m_excessLevel = std::numeric_limits<double>::infinity();
-  m_mostBegun = 0;
-  const double promised = m_routes ? m_routes->Config()->tokensPerSecond : 0.0;
-  if (promised <= 0) {
+  m_fairShare = std::numeric_limits<double>::infinity();
+  m_nominalFairShare = std::numeric_limits<double>::infinity();
+  m_servedFairShare = std::numeric_limits<double>::infinity();
+  m_maxAdmittedRate = 0;
+  const double nominal = m_routes ? m_routes->Config()->tokensPerSecond : 0.0;
+  if (nominal <= 0) {
     m_othersWait = false;
-    m_passLevel.Update({}, promised);
+    m_workspaceThrottle.Update({}, nominal);
     return;
   }
-  double begun = 0;
+  double admitted = 0;
   for (const auto& [workspace, rate] : m_fleetRates) {
-    begun += rate.begun;
-    m_mostBegun = std::max(m_mostBegun, rate.begun);
+    admitted += rate.begun;
+    m_maxAdmittedRate = std::max(m_maxAdmittedRate, rate.begun);
   }
-  const double room = Room(begun, aNow);
-  const double owed = std::min(promised, std::max(begun, room));
-  m_promisedLevel = MaxMinLevel(m_fleetRates, promised);
-  m_shareLevel = MaxMinLevel(m_fleetRates, owed);
-  m_excessLevel = MaxMinLevel(m_fleetRates, std::max(owed, begun));
-  double missed = 0;
+  const double capacity = AdmissionCapacity(admitted, aNow);
+  const double usable = std::min(nominal, std::max(admitted, capacity));
+  m_nominalFairShare = MaxMinLevel(m_fleetRates, nominal);
+  m_fairShare = MaxMinLevel(m_fleetRates, usable);
+  m_servedFairShare = MaxMinLevel(m_fleetRates, std::max(usable, admitted));
+  double unmet = 0;
   for (const auto& [workspace, rate] : m_fleetRates) {
-    if (rate.begun < m_excessLevel) {
-      missed += std::max(0.0, std::min(rate.asked, m_excessLevel) - rate.begun);
+    if (rate.begun < m_servedFairShare) {
+      unmet +=
+        std::max(0.0, std::min(rate.asked, m_servedFairShare) - rate.begun);
     }
   }
-  m_othersWait = missed > kMissedNoticed * begun;
-  m_passLevel.Update(m_fleetRates,
-                     m_newsIsOld ? std::max(promised, room)
-                                 : std::numeric_limits<double>::infinity());
+  m_othersWait = unmet > kMissedNoticed * admitted;
+  m_workspaceThrottle.Update(m_fleetRates,
+                             m_isLargeFleet
+                               ? std::max(nominal, capacity)
+                               : std::numeric_limits<double>::infinity());
 }
 
-//! What may begin in a second: as much as the engines can read. What is found
-//! in caches need not be read.
+//! Rate that may be admitted, in tokens per second: as much as the engines can
+//! prefill, scaled up since cached tokens need no prefill. aAdmittedRate: rate
+//! that is admitted now.
 double
-Fleet::Room(double aBegun, TimePoint aNow) const
+Fleet::AdmissionCapacity(double aAdmittedRate, TimePoint aNow) const
 {
-  const double reading = m_demand.Reading() + m_peers.Reading();
-  const double begunPerRead =
-    reading > 0 ? std::max(aBegun / reading, 1.0) : 1.0;
-  return m_forecastError.ReadingUse() * ReadingCapacity(aNow) * begunPerRead;
+  const double prefillDemand = m_demandMeter.Reading() + m_peers.Reading();
+  const double admittedPerPrefill =
+    prefillDemand > 0 ? std::max(aAdmittedRate / prefillDemand, 1.0) : 1.0;
+  return m_forecastError.ReadingUse() * PrefillCapacity(aNow) *
+         admittedPerPrefill;
 }
 
 }
--- a/src/fleet/internal/fleetplacing.cpp
+++ b/src/fleet/internal/fleetplacing.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-//! How a request gets its place.
+//! Admission and placement of a request.
 namespace hemlockgauge::fleet {
 
 namespace {
 
-//! Prefix uses in one report: over what one router sends in a period under
-//! the largest burst that it can carry.
-constexpr std::size_t kMostUsesTold = 256;
-//! Sets the draw of a place apart from other hashes of the same key.
+//! Greatest number of prefix uses in one report: more than a router sends in a
+//! report interval under the largest burst that it can serve.
+constexpr std::size_t kMaxReportedUses = 256;
+//! Makes the draw of an upstream independent of other hashes of the same key.
 constexpr std::uint32_t kDrawSeed = 0x5eed;
 
 }
@@ -20,9 +20,9 @@
 {
   m_retries.CountRequest(aRequest.service, aNow);
   if (aRequest.work->IsGeneration()) {
-    m_demand.Asked(aRequest.workspace, aRequest.work->Cost(), aNow);
+    m_demandMeter.Asked(aRequest.workspace, aRequest.work->Cost(), aNow);
   } else {
-    m_calls.Asked(ServiceIdOf(aRequest.service), aNow);
+    m_callMeter.Asked(ServiceIdOf(aRequest.service), aNow);
   }
 }
 
@@ -33,14 +33,15 @@
   return found == m_fleetRates.end() ? WorkspaceRate{} : found->second;
 }
 
-//! None may get less than half of what it asks, or of what the best served one
-//! gets: the level, an estimate, is not asked then.
+//! Whether a workspace is close to getting less than half of its demand or of
+//! what the best served workspace gets, which must not happen. The fleet-wide
+//! limit does not apply to it then, as that is only an estimate.
 bool
 Fleet::IsStarved(WorkspaceId aWorkspace) const
 {
   const auto rate = RateOf(aWorkspace);
   return m_othersWait &&
-         rate.begun < kStarved * std::min(rate.asked, m_mostBegun);
+         rate.begun < kStarved * std::min(rate.asked, m_maxAdmittedRate);
 }
 
 bool
@@ -50,7 +51,7 @@
 }
 
 bool
-Fleet::TakesWork(const Upstream& aUpstream, TimePoint aNow) const
+Fleet::AcceptsWork(const Upstream& aUpstream, TimePoint aNow) const
 {
   return !aUpstream.entry.draining && !aUpstream.evacuated &&
          !IsCold(aUpstream, aNow);
@@ -79,33 +80,34 @@
       aRequest.avoid.end()) {
     return Suitability::Tried;
   }
-  const bool held = IsCold(aUpstream, aNow) &&
-                    !m_warmUp.MaySend(aId, aUpstream.coldPerSecond, aNow);
-  return held ? Suitability::Cold : Suitability::Fits;
+  const bool isBlocked = IsCold(aUpstream, aNow) &&
+                         !m_warmUp.MaySend(aId, aUpstream.coldPerSecond, aNow);
+  return isBlocked ? Suitability::Cold : Suitability::Fits;
 }
 
-//! Upstreams of its service that may get it. Those that failed lately come in
-//! only if there are no others.
+//! Upstreams of the request's service that may get it. Returns ejected ones
+//! only if there are no others. Sets aResult.suitability.
 std::vector<UpstreamId>
-Fleet::Eligible(const PlaceRequest& aRequest,
-                PlaceResult& aResult,
-                TimePoint aNow) const
+Fleet::EligibleUpstreams(const PlaceRequest& aRequest,
+                         PlaceResult& aResult,
+                         TimePoint aNow) const
 {
-  std::vector<UpstreamId> sound;
+  std::vector<UpstreamId> healthy;
   std::vector<UpstreamId> ejected;
   for (const auto& [id, upstream] : m_upstreams) {
     const auto suitability = SuitabilityOf(aRequest, id, upstream, aNow);
     aResult.suitability = std::max(aResult.suitability, suitability);
     if (suitability == Suitability::Fits) {
-      (upstream.health.IsEjected(aNow) ? ejected : sound).push_back(id);
+      (upstream.health.IsEjected(aNow) ? ejected : healthy).push_back(id);
     }
   }
-  return sound.empty() ? ejected : sound;
+  return healthy.empty() ? ejected : healthy;
 }
 
-//! Until the first of its service's upstreams is warm.
+//! Time until the first cold upstream of the request's service is warm;
+//! Duration::max() if none is cold.
 Duration
-Fleet::UntilWarm(const PlaceRequest& aRequest, TimePoint aNow) const
+Fleet::TimeUntilWarm(const PlaceRequest& aRequest, TimePoint aNow) const
 {
   auto least = Duration::max();
   for (const auto& [id, upstream] : m_upstreams) {
@@ -127,11 +129,11 @@
   return found == services.end() ? nullptr : &found->second;
 }
 
-//! Engines that hold the shared parts of the request's prompt, as far as any
-//! does, and may be asked for them: what is leaving or failed lately may be
-//! gone before it has given anything. None where engines can't copy.
+//! Engines that hold the longest cached prefix of the request's prompt and that
+//! other engines may copy it from. Draining and ejected engines are left out:
+//! they may be gone before the copy is done. Empty if engines can't copy.
 std::vector<PrefixHolder>
-Fleet::HoldersFor(const PlaceRequest& aRequest, TimePoint aNow) const
+Fleet::FindPrefixHolders(const PlaceRequest& aRequest, TimePoint aNow) const
 {
   std::vector<PrefixHolder> holders;
   const auto* service = FindService(aRequest.service);
@@ -142,11 +144,11 @@
   for (std::size_t i = prompt.size(); i > 1 && holders.empty(); --i) {
     for (const auto id : m_prefixes.HoldersOf(prompt[i - 2].id)) {
       const auto found = m_upstreams.find(id);
-      const bool gives =
+      const bool isUsable =
         found != m_upstreams.end() &&
         IsWorkable(SuitabilityOf(aRequest, id, found->second, aNow)) &&
         !found->second.health.IsEjected(aNow);
-      if (gives) {
+      if (isUsable) {
         holders.push_back({ id,
                             m_prefixes.Held(*aRequest.work, id),
                             found->second.entry.zone });
@@ -164,43 +166,44 @@
 {
   const auto& upstream = m_upstreams.at(aUpstream);
   const auto& entry = upstream.entry;
-  const auto told = m_peers.LoadOf(aUpstream);
-  const auto known = m_serviceTimes.find(aRequest.service);
-  const auto serviceTime =
-    known == m_serviceTimes.end() ? ServiceTime{} : known->second;
+  const auto remote = m_peers.LoadOf(aUpstream);
+  const auto found = m_serviceTimes.find(aRequest.service);
+  const auto meanTime =
+    found == m_serviceTimes.end() ? ServiceTime{} : found->second;
   Candidate candidate;
   candidate.upstream = aUpstream;
   candidate.isEngine = upstream.isEngine;
-  candidate.unreadTokens = upstream.reading.Unread(aNow) + told.unreadTokens;
-  const auto held = m_prefixes.Held(*aRequest.work, aUpstream);
+  candidate.unreadTokens = upstream.prefills.Unread(aNow) + remote.unreadTokens;
+  const auto cachedTokens = m_prefixes.Held(*aRequest.work, aUpstream);
   candidate.missingTokens =
-    static_cast<double>(aRequest.work->promptTokens) - held;
-  candidate.readRate = upstream.readRate.TokensPerMs();
+    static_cast<double>(aRequest.work->promptTokens) - cachedTokens;
+  candidate.readRate = upstream.prefillRate.TokensPerMs();
   if (!aHolders.empty()) {
     candidate.copy =
       ChooseCopy(*FindService(aRequest.service),
                  aHolders,
-                 { aUpstream, entry.zone, held, candidate.readRate },
+                 { aUpstream, entry.zone, cachedTokens, candidate.readRate },
                  aRequest.key);
   }
   candidate.missingTokens -= candidate.copy ? candidate.copy->tokens : 0.0;
-  candidate.running = upstream.running + told.running;
+  candidate.running = upstream.running + remote.running;
   candidate.slots = std::max(entry.slots, 1U);
-  candidate.serviceMs = upstream.time.Millis(serviceTime);
+  candidate.serviceMs = upstream.serviceTime.Millis(meanTime);
   candidate.failurePart = upstream.health.FailurePart(aNow);
   candidate.sameZone = entry.zone == m_settings.zone;
   return candidate;
 }
 
-//! Only those that aPolicy looks at: a router on an eighth of a core has no
-//! time to look at a hundred engines for each request of a flood.
+//! Makes candidates of those upstreams that aPolicy considers: a router on an
+//! eighth of a core has no time to evaluate a hundred engines for each request
+//! under overload.
 std::vector<Candidate>
-Fleet::Candidates(const PlaceRequest& aRequest,
-                  std::vector<UpstreamId> aEligible,
-                  const std::vector<PrefixHolder>& aHolders,
-                  const PlacementPolicy& aPolicy,
-                  std::uint64_t aKey,
-                  TimePoint aNow) const
+Fleet::MakeCandidates(const PlaceRequest& aRequest,
+                      std::vector<UpstreamId> aEligible,
+                      const std::vector<PrefixHolder>& aHolders,
+                      const PlacementPolicy& aPolicy,
+                      std::uint64_t aKey,
+                      TimePoint aNow) const
 {
   const bool isEngine =
     !aEligible.empty() && m_upstreams.at(aEligible.front()).isEngine;
@@ -215,34 +218,36 @@
   return candidates;
 }
 
-//! What others sent to a plain service since the news of it: as much of its
-//! time as it is busy. Engines keep the best place: prefixes already spread
-//! requests there, and a place that holds the prompt's parts is worth more than
-//! a level load.
+//! Estimates what other routers sent to a plain service since their last
+//! reports: the age of the reports times the service's utilisation. Engines get
+//! no such estimate and so the best candidate is always used: their prefixes
+//! already spread requests, and an engine that caches the prompt's prefix is
+//! worth more than an even load.
 UnseenLoad
-Fleet::Unseen(const PlaceRequest& aRequest,
-              const std::vector<Candidate>& aCandidates,
-              TimePoint aNow) const
+Fleet::EstimateUnreportedLoad(const PlaceRequest& aRequest,
+                              const std::vector<Candidate>& aCandidates,
+                              TimePoint aNow) const
 {
   if (aCandidates.empty() || aCandidates.front().isEngine) {
     return {};
   }
-  double busy = 0;
+  double usedSlots = 0;
   double slots = 0;
   for (const auto& candidate : aCandidates) {
-    busy += std::min(candidate.running, candidate.slots);
+    usedSlots += std::min(candidate.running, candidate.slots);
     slots += candidate.slots;
   }
   const auto age = static_cast<double>(m_peers.NewsAge(aNow).count());
   const auto key = static_cast<std::uint32_t>(aRequest.key);
-  return { kUnseenTimes * age * busy / slots, base::HashPair(key, kDrawSeed) };
+  return { kUnseenTimes * age * usedSlots / slots,
+           base::HashPair(key, kDrawSeed) };
 }
 
 Admission
-Fleet::Judge(const PlaceRequest& aRequest,
-             const Candidate& aCandidate,
-             const UnseenLoad& aUnseen,
-             const PlaceResult& aResult) const
+Fleet::DecideAdmission(const PlaceRequest& aRequest,
+                       const Candidate& aCandidate,
+                       const UnseenLoad& aUnseen,
+                       const PlaceResult& aResult) const
 {
   AdmissionInput input;
   input.foreseenMs = aCandidate.ForeseenMs();
@@ -266,94 +271,100 @@
   return Admit(input);
 }
 
-//! What its workspace is owed, without a place yet.
+//! Starts a result with the request's entitlement, before an upstream is
+//! sought. May use up credit of the workspace's throttle.
 PlaceResult
-Fleet::Entitlement(const PlaceRequest& aRequest, TimePoint aNow)
+Fleet::EvaluateEntitlement(const PlaceRequest& aRequest, TimePoint aNow)
 {
   PlaceResult result;
-  const bool generates = aRequest.work->IsGeneration();
+  const bool isGeneration = aRequest.work->IsGeneration();
   result.rate = RateOf(aRequest.workspace);
-  result.mostBegun = m_mostBegun;
-  const double begun = result.rate.begun;
-  result.insideShare = begun < m_shareLevel;
+  result.mostBegun = m_maxAdmittedRate;
+  const double admittedRate = result.rate.begun;
+  result.insideShare = admittedRate < m_fairShare;
   result.insidePromise =
-    result.insideShare || (generates && begun < m_promisedLevel);
-  result.excess = begun / m_excessLevel;
-  result.farBehind = m_othersWait && begun < kFarBehind * m_mostBegun;
-  result.starved = generates && IsStarved(aRequest.workspace);
-  result.passesLevel = !generates || aRequest.admitted || result.starved ||
-                       m_passLevel.Pass(aRequest.workspace);
+    result.insideShare || (isGeneration && admittedRate < m_nominalFairShare);
+  result.excess = admittedRate / m_servedFairShare;
+  result.farBehind =
+    m_othersWait && admittedRate < kFarBehind * m_maxAdmittedRate;
+  result.starved = isGeneration && IsStarved(aRequest.workspace);
+  result.passesLevel = !isGeneration || aRequest.admitted || result.starved ||
+                       m_workspaceThrottle.Pass(aRequest.workspace);
   result.passesCallLevel =
-    generates || aRequest.admitted ||
-    m_callLevels.Passes(ServiceIdOf(aRequest.service), aRequest.key);
+    isGeneration || aRequest.admitted ||
+    m_callThrottle.Passes(ServiceIdOf(aRequest.service), aRequest.key);
   result.peersAge = m_peers.Age(aNow);
   result.loadAge = m_peers.NewsAge(aNow);
   return result;
 }
 
-//! Whether no upstream may get it, since upstreams crash under it.
+//! Whether the request is quarantined because upstreams crashed while they ran
+//! it. Sets aResult's crashes and, if quarantined, its outcome and Retry-After.
 bool
-Fleet::Withhold(const PlaceRequest& aRequest,
-                PlaceResult& aResult,
-                TimePoint aNow) const
+Fleet::IsQuarantined(const PlaceRequest& aRequest,
+                     PlaceResult& aResult,
+                     TimePoint aNow) const
 {
   const auto request = aRequest.fingerprint;
   if (request == RequestFingerprint{}) {
     return false;
   }
-  const auto unsure = m_crashChecks.Waiting(request);
-  aResult.crashes = m_quarantine.Crashes(request) + unsure;
-  const auto held = m_quarantine.HeldFor(request, unsure, aNow);
-  if (held) {
+  const auto unchecked = m_crashChecks.Waiting(request);
+  aResult.crashes = m_quarantine.Crashes(request) + unchecked;
+  const auto remaining = m_quarantine.HeldFor(request, unchecked, aNow);
+  if (remaining) {
     aResult.outcome = PlaceOutcome::Quarantined;
-    aResult.retryAfter = *held;
+    aResult.retryAfter = *remaining;
   }
-  return held.has_value();
+  return remaining.has_value();
 }
 
 PlaceResult
 Fleet::Place(const PlaceRequest& aRequest, TimePoint aNow)
 {
-  auto result = Entitlement(aRequest, aNow);
-  if (Withhold(aRequest, result, aNow)) {
+  auto result = EvaluateEntitlement(aRequest, aNow);
+  if (IsQuarantined(aRequest, result, aNow)) {
     return result;
   }
-  const bool shed = aRequest.work->IsGeneration() && !aRequest.admitted &&
-                    ShedsWhileBusy(result.IsPromised(),
-                                   aRequest.busyFor,
-                                   aRequest.route->target);
-  if (shed) {
+  const bool isShed = aRequest.work->IsGeneration() && !aRequest.admitted &&
+                      ShedsWhileBusy(result.IsPromised(),
+                                     aRequest.busyFor,
+                                     aRequest.route->target);
+  if (isShed) {
     result.outcome = PlaceOutcome::Refused;
     result.routerBusy = true;
     result.retryAfter = kRetryAfterLeast;
     return result;
   }
   const auto* shared = aRequest.work->LastShared();
-  //! NOTE what was beside a crash goes apart: by its prefix it would follow the
-  //! request that caused it to the next upstream.
-  const bool apart = result.crashes > 0;
-  const auto policy = apart ? Spread() : m_policy;
-  const auto key = shared != nullptr && !apart ? shared->id : aRequest.key;
-  const auto eligible = Eligible(aRequest, result, aNow);
-  const auto holders = HoldersFor(aRequest, aNow);
-  auto candidates = Candidates(aRequest, eligible, holders, policy, key, aNow);
-  const auto unseen = Unseen(aRequest, candidates, aNow);
+  //! NOTE a request that ran at an upstream that crashed is placed apart from
+  //! its prefix: otherwise it would follow the request that caused the crash to
+  //! the next upstream.
+  const bool isIsolated = result.crashes > 0;
+  const auto policy = isIsolated ? Spread() : m_policy;
+  const auto key = shared != nullptr && !isIsolated ? shared->id : aRequest.key;
+  const auto eligible = EligibleUpstreams(aRequest, result, aNow);
+  const auto holders = FindPrefixHolders(aRequest, aNow);
+  auto candidates =
+    MakeCandidates(aRequest, eligible, holders, policy, key, aNow);
+  const auto unseen = EstimateUnreportedLoad(aRequest, candidates, aNow);
   auto placed = fleet::Place(policy, candidates, key, unseen);
   if (!placed) {
     result.retryAfter =
-      RetryAfterFor(result.suitability, UntilWarm(aRequest, aNow));
+      RetryAfterFor(result.suitability, TimeUntilWarm(aRequest, aNow));
     return result;
   }
   auto admission =
-    Judge(aRequest, candidates[placed->candidate], unseen, result);
+    DecideAdmission(aRequest, candidates[placed->candidate], unseen, result);
   if (!admission.taken && !aRequest.admitted && result.IsPromised()) {
-    //! NOTE its prefix's upstreams are full; it may still be in time where
-    //! all of it has to be read. For what no one is owed that would be
-    //! reading for nothing.
+    //! NOTE the engines of the request's prefix are full. It may still be in
+    //! time at an engine that has to prefill the whole prompt. Without an
+    //! entitlement that prefill would be a waste.
     candidates =
-      Candidates(aRequest, eligible, holders, Spread(), aRequest.key, aNow);
+      MakeCandidates(aRequest, eligible, holders, Spread(), aRequest.key, aNow);
     placed = fleet::Place(Spread(), candidates, aRequest.key, unseen);
-    admission = Judge(aRequest, candidates[placed->candidate], unseen, result);
+    admission =
+      DecideAdmission(aRequest, candidates[placed->candidate], unseen, result);
   }
   const auto& candidate = candidates[placed->candidate];
   result.foreseenMs = placed->foreseenMs;
@@ -377,22 +388,23 @@
   result.sameZone = candidate.sameZone;
   result.upstreamId = entry.id;
   result.address = entry.address;
-  result.attempt = Begin(aRequest, id, candidate, aNow);
+  result.attempt = StartAttempt(aRequest, id, candidate, aNow);
   return result;
 }
 
+//! Records a placed request as an attempt at aUpstream and returns its id.
 AttemptId
-Fleet::Begin(const PlaceRequest& aRequest,
-             UpstreamId aUpstream,
-             const Candidate& aCandidate,
-             TimePoint aNow)
+Fleet::StartAttempt(const PlaceRequest& aRequest,
+                    UpstreamId aUpstream,
+                    const Candidate& aCandidate,
+                    TimePoint aNow)
 {
   auto& upstream = m_upstreams.at(aUpstream);
   const auto& work = *aRequest.work;
   Attempt attempt;
   attempt.upstream = aUpstream;
   attempt.fingerprint = aRequest.fingerprint;
-  const double toRead = std::max(aCandidate.missingTokens, 0.0);
+  const double prefillTokens = std::max(aCandidate.missingTokens, 0.0);
   attempt.tokensAhead = aCandidate.unreadTokens + aCandidate.missingTokens;
   attempt.foreseenMs = aCandidate.ForeseenMs();
   attempt.rounds = aCandidate.Rounds();
@@ -402,21 +414,21 @@
     m_warmUp.Sent(aUpstream, aNow);
   }
   const auto id = m_nextAttempt++;
-  const double aheadMs = aCandidate.unreadTokens / aCandidate.readRate;
-  upstream.reading.Sent(
-    id, toRead, aheadMs, toRead / aCandidate.readRate, aNow);
+  const double queueMs = aCandidate.unreadTokens / aCandidate.readRate;
+  upstream.prefills.Sent(
+    id, prefillTokens, queueMs, prefillTokens / aCandidate.readRate, aNow);
   for (std::size_t i = 0; i + 1 < work.prompt.size(); ++i) {
     m_prefixes.Used(work.prompt[i].id, aUpstream);
-    if (m_usesHere.size() < kMostUsesTold) {
-      m_usesHere.push_back({ work.prompt[i].id, aUpstream });
+    if (m_ownUses.size() < kMaxReportedUses) {
+      m_ownUses.push_back({ work.prompt[i].id, aUpstream });
     }
   }
-  if (work.IsGeneration() && FitsMemory(work)) {
-    m_memoryUse.Begun(
-      work, toRead, aCandidate.copy ? aCandidate.copy->tokens : 0.0);
+  if (work.IsGeneration() && FitsKvCache(work)) {
+    m_kvCacheUse.Begun(
+      work, prefillTokens, aCandidate.copy ? aCandidate.copy->tokens : 0.0);
   }
   if (work.IsGeneration() && !aRequest.admitted) {
-    m_demand.Begun(aRequest.workspace, work.Cost(), toRead, aNow);
+    m_demandMeter.Begun(aRequest.workspace, work.Cost(), prefillTokens, aNow);
     m_fleetRates[aRequest.workspace].begun +=
       work.Cost() * 1000.0 / static_cast<double>(kShareMemory.count());
   }
--- a/src/fleet/internal/fleetreports.cpp
+++ b/src/fleet/internal/fleetreports.cpp
@@ -4,27 +4,29 @@
 
 #include <algorithm>
 
-//! What a router takes from the reports of others, and what it tells them.
+//! Processing of other routers' reports and making of this router's reports.
 namespace hemlockgauge::fleet {
 
 namespace {
 
-//! Prefix uses that a sum of many routers has room for in one datagram.
-constexpr std::size_t kMostUsesSummed = 1024;
+//! Greatest number of prefix uses that a sum of many routers can carry in one
+//! datagram.
+constexpr std::size_t kMaxSummedUses = 1024;
 
+//! Appends aMore to aTo up to kMaxSummedUses; the rest is dropped.
 void
 Append(std::vector<PrefixUse>& aTo, const std::vector<PrefixUse>& aMore)
 {
-  const auto room = kMostUsesSummed - std::min(kMostUsesSummed, aTo.size());
-  const auto count = std::min(room, aMore.size());
+  const auto capacity = kMaxSummedUses - std::min(kMaxSummedUses, aTo.size());
+  const auto count = std::min(capacity, aMore.size());
   aTo.insert(aTo.end(),
              aMore.begin(),
              aMore.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
-//! The same use by many routers is told once.
+//! Removes duplicates: a use that many routers reported is passed on once.
 void
-Unite(std::vector<PrefixUse>& aUses)
+Deduplicate(std::vector<PrefixUse>& aUses)
 {
   std::sort(aUses.begin(), aUses.end());
   aUses.erase(std::unique(aUses.begin(), aUses.end()), aUses.end());
@@ -36,34 +38,36 @@
 Fleet::Take(const PeerReport& aReport, TimePoint aNow)
 {
   m_quarantine.Take(aReport.crashNews, aNow);
-  m_newestConfigTold = std::max(m_newestConfigTold, aReport.configVersion);
+  m_newestReportedConfig =
+    std::max(m_newestReportedConfig, aReport.configVersion);
   if (!m_peers.Take(aReport, aNow)) {
     return false;
   }
   for (const auto& use : aReport.uses) {
     m_prefixes.Used(use.part, use.upstream);
   }
-  if (m_sumsUp) {
-    KeepUses(aReport);
+  if (m_isSummingHub) {
+    CollectUses(aReport);
   }
-  TakeProof(aReport);
+  ApplyConfigProof(aReport);
   return true;
 }
 
-//! What a hub passes on, and to whom.
+//! Collects prefix uses that this hub passes on with its group, zone and fleet
+//! sums. Uses from a sum are only passed on to routers that did not get it.
 void
-Fleet::KeepUses(const PeerReport& aReport)
+Fleet::CollectUses(const PeerReport& aReport)
 {
-  const bool ofGroup = aReport.scope == ReportScope::Router;
-  const bool ofZone = ofGroup || aReport.scope == ReportScope::Group;
-  if (ofGroup) {
-    Append(m_usesOfGroup, aReport.uses);
+  const bool isOfGroup = aReport.scope == ReportScope::Router;
+  const bool isOfZone = isOfGroup || aReport.scope == ReportScope::Group;
+  if (isOfGroup) {
+    Append(m_groupUses, aReport.uses);
   }
-  if (ofZone && m_speaksForZone) {
-    Append(m_usesOfZone, aReport.uses);
+  if (isOfZone && m_isZoneSpeaker) {
+    Append(m_zoneUses, aReport.uses);
   }
   if (aReport.scope != ReportScope::Fleet) {
-    Append(m_usesOfFleet, aReport.uses);
+    Append(m_fleetUses, aReport.uses);
   }
 }
 
@@ -72,28 +76,29 @@
 {
   m_group = aPlan.group;
   m_warmUp.SetRouters(aPlan.routers);
-  m_sumsUp = aPlan.SumsUp();
-  m_newsIsOld = aPlan.IsLarge();
-  if (!m_sumsUp) {
-    m_usesOfGroup.clear();
-    m_usesOfFleet.clear();
+  m_isSummingHub = aPlan.SumsUp();
+  m_isLargeFleet = aPlan.IsLarge();
+  if (!m_isSummingHub) {
+    m_groupUses.clear();
+    m_fleetUses.clear();
   }
-  m_speaksForZone = !aPlan.otherZones.empty();
-  if (!m_speaksForZone) {
-    m_usesOfZone.clear();
+  m_isZoneSpeaker = !aPlan.otherZones.empty();
+  if (!m_isZoneSpeaker) {
+    m_zoneUses.clear();
   }
   m_peers.SetRole(aPlan.isHub, aPlan.group);
 }
 
-//! A datagram may have waited in a buffer while this process stood still,
-//! so its age is not known. The echo of this router's own clock bounds it:
-//! the sender wrote it after it heard that.
+//! Records that the configuration in force is current if the sender proves it.
+//! The age of the datagram is unknown, as it may have waited in a buffer while
+//! this process was suspended. The sender's echo of this router's own timestamp
+//! bounds it: the report was written after that timestamp.
 void
-Fleet::TakeProof(const PeerReport& aReport)
+Fleet::ApplyConfigProof(const PeerReport& aReport)
 {
-  const bool isOurs =
+  const bool isSameVersion =
     aReport.configVersion != 0 && aReport.configVersion == ConfigVersion();
-  if (!isOurs || !KnowsNewestConfig()) {
+  if (!isSameVersion || !KnowsNewestConfig()) {
     return;
   }
   const auto self = base::RouterId(base::HashName(m_settings.router));
@@ -119,25 +124,25 @@
   report.configAge = m_freshness.Age(aNow);
   for (const auto& [id, upstream] : m_upstreams) {
     if (upstream.running > 0) {
-      const auto unread = upstream.reading.Unread(aNow);
+      const auto unread = upstream.prefills.Unread(aNow);
       report.loads.push_back(
         { id, static_cast<std::uint32_t>(unread), upstream.running });
     }
   }
-  for (const auto& [workspace, rate] : m_demand.Rates(aNow)) {
+  for (const auto& [workspace, rate] : m_demandMeter.Rates(aNow)) {
     report.rates.push_back({ workspace, rate });
   }
-  for (const auto& [service, rate] : m_calls.Rates(aNow)) {
+  for (const auto& [service, rate] : m_callMeter.Rates(aNow)) {
     report.calls.push_back({ service, rate });
   }
-  report.reading = m_demand.Reading();
+  report.reading = m_demandMeter.Reading();
   report.crashNews = report.sequence % kQuarantineEvery == 0
                        ? m_quarantine.TellInTurn(aNow)
                        : m_quarantine.TellNews(aNow);
-  report.uses = std::move(m_usesHere);
-  m_usesHere.clear();
-  if (m_sumsUp) {
-    KeepUses(report);
+  report.uses = std::move(m_ownUses);
+  m_ownUses.clear();
+  if (m_isSummingHub) {
+    CollectUses(report);
   }
   m_peers.Sent(report);
   return report;
@@ -150,10 +155,10 @@
          static_cast<double>(m_peers.Routers() + 1);
 }
 
-//! Since aOwn was made time has passed: what bounds ages by the receiver's
-//! clock must hold for the moment at which it is sent.
+//! Returns aOwn with ages as of aNow: receivers compute with the ages on their
+//! own clocks, so they must be right at the time of sending.
 PeerReport
-Fleet::Renewed(const PeerReport& aOwn, TimePoint aNow) const
+Fleet::WithCurrentAges(const PeerReport& aOwn, TimePoint aNow) const
 {
   auto report = aOwn;
   report.readerAge += aNow - aOwn.sentAt;
@@ -165,28 +170,28 @@
 PeerReport
 Fleet::TellGroup(const PeerReport& aOwn, TimePoint aNow)
 {
-  auto sum = m_peers.GroupSum(Renewed(aOwn, aNow), aNow);
-  sum.uses = std::move(m_usesOfGroup);
-  m_usesOfGroup.clear();
+  auto sum = m_peers.GroupSum(WithCurrentAges(aOwn, aNow), aNow);
+  sum.uses = std::move(m_groupUses);
+  m_groupUses.clear();
   return sum;
 }
 
 PeerReport
 Fleet::TellZone(const PeerReport& aOwn, TimePoint aNow)
 {
-  auto sum = m_peers.ZoneSum(Renewed(aOwn, aNow), aNow);
-  sum.uses = std::move(m_usesOfZone);
-  m_usesOfZone.clear();
-  Unite(sum.uses);
+  auto sum = m_peers.ZoneSum(WithCurrentAges(aOwn, aNow), aNow);
+  sum.uses = std::move(m_zoneUses);
+  m_zoneUses.clear();
+  Deduplicate(sum.uses);
   return sum;
 }
 
 PeerReport
 Fleet::TellFleet(const PeerReport& aOwn, TimePoint aNow)
 {
-  auto sum = m_peers.FleetSum(Renewed(aOwn, aNow), aNow);
-  sum.uses = std::move(m_usesOfFleet);
-  m_usesOfFleet.clear();
+  auto sum = m_peers.FleetSum(WithCurrentAges(aOwn, aNow), aNow);
+  sum.uses = std::move(m_fleetUses);
+  m_fleetUses.clear();
   return sum;
 }
 
