--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -59,12 +59,12 @@
   }
   m_routes = std::make_unique<RouteTable>(std::move(aConfig));
   UpdateServiceSettings();
-  FindSmallestKvCache();
+  UpdateSmallestKvCache();
   return true;
 }
 
 void
-Fleet::FindSmallestKvCache()
+Fleet::UpdateSmallestKvCache()
 {
   m_smallestKvCache = 0;
   for (const auto& [name, service] : m_routes->Config()->services) {
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -41,12 +41,13 @@
 {
   std::string router;
   std::string zone;
-  std::uint64_t life = 0; //!< differs between runs of this router's process
+  std::uint64_t life = 0; //!< grows with each start of this router
   PlacementKind placement = PlacementKind::PrefixAffinity;
   //! Time within which a withdrawn key must stop working; 0: no bound.
   Duration revocationBound{};
   //! Outage of the store after which upstreams' entries in it expire.
   Duration lapseAfter{ 2400 };
+  //! Limits of the fleet's retries, see RetryBudget::Configure.
   double retryRatio = 0.2;
   double retrySlack = 20;
   Duration retryWindow{ 10000 };
@@ -74,6 +75,7 @@
   Duration busyFor{};
 };
 
+//! Result of the decision about a request.
 enum class PlaceOutcome : std::uint8_t
 {
   Placed,
@@ -108,11 +110,11 @@
   //! prefilled; port 0: none.
   base::Address copyFrom;
   double copiedTokens = 0;
-  std::uint32_t running = 0; //!< requests at the upstream, of all routers
-  std::size_t crashes = 0;   //!< upstreams that crashed while they ran it
-  int rank = 0;              //!< of the upstream in the prefix's order
-  bool sameZone = false;     //!< the upstream is in this router's zone
-  bool insideShare = true;
+  std::uint32_t running = 0;   //!< requests at the upstream, of all routers
+  std::size_t crashes = 0;     //!< upstreams that crashed while they ran it
+  int rank = 0;                //!< of the upstream in the prefix's order
+  bool sameZone = false;       //!< the upstream is in this router's zone
+  bool insideShare = true;     //!< see AdmissionInput
   bool insidePromise = true;   //!< see AdmissionInput
   bool starved = false;        //!< see AdmissionInput
   bool passesLevel = true;     //!< see PassLevel
@@ -175,7 +177,7 @@
 public:
   explicit Fleet(const FleetSettings& aSettings);
 
-  //! Applies changed limits. The router's name, zone and life and the placement
+  //! Applies changed limits. The router's name, zone, incarnation and placement
   //! policy stay as they are.
   void Reconfigure(const FleetSettings& aSettings);
 
@@ -192,7 +194,8 @@
   }
   UpstreamList& Upstreams() { return m_list; }
   const UpstreamList& Upstreams() const { return m_list; }
-  //! Must be called after each change of Upstreams() or Evacuated().
+  //! Updates the known upstreams. Must be called after each change of
+  //! Upstreams() or Evacuated().
   void FollowUpstreams(TimePoint aNow);
   Evacuations& Evacuated() { return m_evacuations; }
   const Evacuations& Evacuated() const { return m_evacuations; }
@@ -215,10 +218,13 @@
   //! Upstreams to check now, whether they still listen. Checked must be called
   //! with the result of each.
   std::vector<UpstreamToCheck> UpstreamsToCheck(TimePoint aNow);
+  //! Records the result of a check. If the upstream crashed, the crash counts
+  //! for each request whose connection to it broke.
   CheckNotice Checked(UpstreamId aUpstream,
                       quarantine::CheckResult aResult,
                       TimePoint aNow);
-  //! All crash reports, for a router that has just started.
+  //! Crash reports for a router that has just started: all quarantined requests
+  //! and some of the suspected ones.
   quarantine::CrashNews CrashNewsForStart(TimePoint aNow)
   {
     return m_quarantine.TellInTurn(aNow);
@@ -230,9 +236,10 @@
   }
 
   // ---- other routers
+  //! Applies this router's role in the exchange of reports.
   void SetPlan(const ExchangePlan& aPlan);
-  //! Applies a report of another router. Returns false if it is older than the
-  //! reports known so far.
+  //! Applies a report of another router. Returns false if it is outdated; then
+  //! only its crash reports and its configuration version are used.
   bool Take(const PeerReport& aReport, TimePoint aNow);
   //! Makes this router's own report. A hub sends its sums afterwards. aBusyFor:
   //! time since this router's event loop was last idle.
@@ -305,6 +312,7 @@
   std::vector<UpstreamId> EligibleUpstreams(const PlaceRequest& aRequest,
                                             PlaceResult& aResult,
                                             TimePoint aNow) const;
+  //! Copies settings of the services to their upstreams.
   void UpdateServiceSettings();
   const Service* FindService(const std::string& aName) const;
   std::vector<PrefixHolder> FindPrefixHolders(const PlaceRequest& aRequest,
@@ -317,7 +325,7 @@
                                     const std::vector<Candidate>& aCandidates,
                                     TimePoint aNow) const;
   void UpdateCallThrottle(TimePoint aNow);
-  void FindSmallestKvCache();
+  void UpdateSmallestKvCache();
   std::vector<Candidate> MakeCandidates(
     const PlaceRequest& aRequest,
     std::vector<UpstreamId> aEligible,
@@ -349,6 +357,7 @@
                          const Candidate& aCandidate,
                          TimePoint aNow);
   void CountAnswer(const Upstream& aUpstream, TimePoint aNow);
+  //! Whether its service can spare one more upstream.
   bool MayEject(const Upstream& aUpstream, TimePoint aNow) const;
   Upstream* FindUpstream(UpstreamId aUpstream);
   void EndPrefill(Upstream* aUpstream, AttemptId aId, Attempt& aAttempt);
@@ -383,8 +392,8 @@
   double m_servedFairShare;
   PassLevel m_workspaceThrottle;
   ForecastError m_forecastError;
-  bool m_isLargeFleet =
-    false; //!< reports arrive through hubs, so they are older
+  //! Reports arrive through hubs, so they are older than direct ones.
+  bool m_isLargeFleet = false;
   std::uint64_t m_group = 0;
   bool m_isSummingHub = false;        //!< see ExchangePlan::SumsUp
   bool m_isZoneSpeaker = false;       //!< exchanges sums with other zones
@@ -397,7 +406,7 @@
   std::unordered_map<AttemptId, Attempt> m_attempts;
   AttemptId m_nextAttempt = 1;
   std::uint64_t m_reportSequence = 0;
-  std::uint64_t m_newestReportedConfig = 0; //!< newest version at other routers
+  std::uint64_t m_newestReportedConfig = 0; //!< version, by other routers
 };
 
 }
