--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -395,7 +395,7 @@
   //! Reports arrive through hubs, so they are older than direct ones.
   bool m_isLargeFleet = false;
   std::uint64_t m_group = 0;
-  bool m_isSummingHub = false;        //!< see ExchangePlan::SumsUp
+  bool m_isSummingHub = false;        //!< makes sums for other routers
   bool m_isZoneSpeaker = false;       //!< exchanges sums with other zones
   std::vector<PrefixUse> m_ownUses;   //!< since the last own report
   std::vector<PrefixUse> m_groupUses; //!< since the last group sum
