--- a/src/fleet/admission.h
+++ b/src/fleet/admission.h
@@ -5,54 +5,63 @@
 
 namespace hemlockgauge::fleet {
 
-//! What decides whether a request that could be placed is taken.
+//! The inputs of the admission decision for a request for which a suitable
+//! upstream was found.
 struct AdmissionInput
 {
-  double foreseenMs = 0; //!< to its first token or its answer
-  double ownMs = 0;      //!< of that, what reading its own part takes
-  double unseenMs = 0;   //!< see UnseenLoad: what news is too old to tell
-  Duration waited{};     //!< since it arrived
-  Duration target{};     //!< of its route, from its arrival
-  Duration timeLeft{};   //!< until its deadline or its route's timeout
-  bool insideShare = true;
-  //! Beyond its part of what the engines can read, but not of what is
-  //! promised to all workspaces together.
+  double foreseenMs = 0; //!< time to its first token or its answer
+  double ownMs = 0;      //!< part of foreseenMs: prefill of its unshared tokens
+  double unseenMs = 0;   //!< mean wait from unreported load, see UnseenLoad
+  Duration waited{};     //!< since the request arrived
+  Duration target{};     //!< its route's target latency, from arrival
+  Duration timeLeft{};   //!< until its deadline or the route's timeout
+  bool insideShare = true; //!< its workspace is within its fair share
+  //! The workspace is above its share of what the engines can process, but
+  //! within its share of what is promised to all workspaces together.
   bool insidePromise = false;
-  //! Its workspace gets far under half of what it asks and others get.
+  //! The workspace gets far less than half of what it asks for and of what the
+  //! best served workspace gets.
   bool starved = false;
-  //! What its workspace gets against the most that any would get if all
-  //! that is served now were split by max-min: over 1, others are behind.
+  //! The workspace's current rate divided by the highest rate of any workspace
+  //! if the load served now were split by max-min fair share. Above 1, the
+  //! workspace is ahead of others.
   double excess = 1;
-  //! Workspaces that are not ahead do not get what they ask.
+  //! Some workspaces that are not ahead get less than they ask for.
   bool othersWait = true;
-  bool placesFree = false;     //!< its upstream has free slots and no backlog
-  bool passesLevel = true;     //!< see PassLevel
-  bool passesCallLevel = true; //!< see PassingPart
-  bool idle = false;           //!< nothing runs at its upstream
+  bool placesFree = false; //!< the upstream has free slots and no backlog
+  bool passesLevel = true; //!< passes its workspace's rate limit, see PassLevel
+  bool passesCallLevel = true; //!< passes its plain service's rate limit
+  bool idle = false;           //!< no request runs at the upstream
 };
 
+//! The admission decision.
 struct Admission
 {
   bool taken = true;
-  Duration retryAfter{};
+  Duration retryAfter{}; //!< for the caller of a refused request
 };
 
-//! Answers a flood on one router that is slower than the flood: what it takes
-//! waits unseen before it is read, at most for as long as the router has not
-//! rested. What is not owed is refused then without a look at the upstreams.
+//! Whether an overloaded router sheds a request without evaluating upstreams.
+//! When requests arrive faster than the router can read them, they wait in its
+//! receive buffers for up to aRouterBusy, the time for which its event loop has
+//! not been idle. A request beyond its workspace's promise is shed if that
+//! wait alone uses too much of aTarget, the route's target latency.
 bool
-ShedsWhileBusy(bool aOwed, Duration aRouterBusy, Duration aTarget);
+ShedsWhileBusy(bool aInsidePromise, Duration aRouterBusy, Duration aTarget);
 
-//! Answers overload: more is asked than can be read in time. Engines admit
-//! in the order of arrival and know no priorities, so a request that is
-//! taken too late makes all behind it late. Refused at once, it can come
-//! back; taken, it would cost its own time and that of the others. Those
-//! beyond their workspace's share go first, so a flooding workspace delays
-//! only itself; among these, the more a workspace gets beyond what others
-//! get, the sooner it is refused, so that several floods are served alike.
-//! Where more is promised than can be read, what is inside the promise alone
-//! goes a little sooner than what is inside the share, so that this finds room;
-//! who is starved waits longer, rather late than not at all.
+//! Admits a request if its predicted latency is within a fraction of its target
+//! latency, and refuses it with a retry time otherwise. Engines process
+//! requests in order of arrival without priorities, so a request that is
+//! admitted too late delays all requests behind it; one that is refused at once
+//! can be retried.
+//!
+//! Requests beyond their workspace's share have the smallest fraction, so a
+//! flooding workspace delays only itself. Among these, the fraction shrinks the
+//! further a workspace is ahead of others, so that several flooding workspaces
+//! are served alike. Where more is promised than the engines can process,
+//! requests within the promise only are refused slightly earlier than those
+//! within the share, which leaves room for the latter. Requests of a starved
+//! workspace may exceed the target: a late answer is better than none.
 Admission
 Admit(const AdmissionInput& aInput);
 
--- a/src/fleet/evacuations.h
+++ b/src/fleet/evacuations.h
@@ -12,59 +12,68 @@
 
 using base::TimePoint;
 
-//! An availability zone whose upstreams are to get nothing new.
+//! An availability zone whose upstreams get no new requests.
 struct Evacuation
 {
   std::string zone;
-  std::uint64_t revision = 0; //!< of the store, when it was written
+  std::uint64_t revision = 0; //!< store revision at which it was written
 
   bool operator==(const Evacuation&) const = default;
 };
 
+//! A change of an availability zone.
 enum class ZoneChange : std::uint8_t
 {
-  Evacuated,
-  Restored
+  Evacuated, //!< its evacuation came into force
+  Restored   //!< its evacuation ended
 };
 inline constexpr auto kZoneChangeNames =
   base::MakeEnumNames<ZoneChange>("evacuated", "restored");
 
+//! An evacuation that came into force or ended.
 struct ZoneNotice
 {
   Evacuation evacuation;
   ZoneChange change = ZoneChange::Evacuated;
 };
 
-//! The evacuations in force. One counts as soon as any source tells it. It
-//! ends only with proof from after the moment at which it was learned: a
-//! source that is cut off from the store may not know of it yet.
+//! The evacuations in force. An evacuation comes into force as soon as any
+//! source reports it. It ends only when a source that does not report it is
+//! confirmed to be up to date with the store at a time after it was learned: a
+//! source that is cut off from the store may not have received it yet.
 class Evacuations
 {
 public:
+  //! Adds or updates an evacuation that the source reports. Returns a notice if
+  //! the zone was not evacuated before.
   std::vector<ZoneNotice> Put(const Evacuation& aEvacuation, TimePoint aNow);
+  //! Marks a zone as no longer reported; it stays evacuated until Proven.
   void Remove(const std::string& aZone);
-  //! All that the source tells now; what is missing ends with its proof.
+  //! Takes aAll as all evacuations that the source reports. Those not in it
+  //! stay in force until Proven. Returns a notice for each new one.
   std::vector<ZoneNotice> Replace(const std::vector<Evacuation>& aAll,
                                   TimePoint aNow);
-  //! What was told held at aAt.
+  //! Records that the source's state was up to date with the store at aAt. Ends
+  //! the evacuations that it does not report and that were learned by aAt, and
+  //! returns a notice for each.
   std::vector<ZoneNotice> Proven(TimePoint aAt);
 
   bool Contains(const std::string& aZone) const
   {
     return m_zones.contains(aZone);
   }
-  //! By zone.
+  //! Sorted by zone.
   std::vector<Evacuation> InForce() const;
 
 private:
-  struct Known
+  struct Entry
   {
     Evacuation evacuation;
     TimePoint learnedAt{};
-    bool told = true; //!< by the source that is followed now
+    bool isReported = true; //!< by the current source
   };
 
-  std::map<std::string, Known> m_zones;
+  std::map<std::string, Entry> m_zones;
 };
 
 }
--- a/src/fleet/internal/admission.cpp
+++ b/src/fleet/internal/admission.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 bool
-IsBeyondAll(const AdmissionInput& aInput)
+IsBeyondPromise(const AdmissionInput& aInput)
 {
   return !aInput.insideShare && !aInput.insidePromise;
 }
 
-//! The part of its target within which a request must be foreseen.
+//! The fraction of the target latency that the predicted latency of a request
+//! may take.
 double
-LimitPart(const AdmissionInput& aInput)
+LatencyLimitRatio(const AdmissionInput& aInput)
 {
   if (aInput.starved) {
     return kStarvedLimit;
@@ -30,56 +31,63 @@
   if (!aInput.othersWait) {
     return kOutsideShareLimit;
   }
-  const double behind = 1.0 / std::max(aInput.excess, kExcessLeast);
-  return kOutsideShareLimit * std::min(behind * behind, kBehindMost);
+  const double inverseExcess = 1.0 / std::max(aInput.excess, kExcessLeast);
+  return kOutsideShareLimit *
+         std::min(inverseExcess * inverseExcess, kBehindMost);
 }
 
-//! Large prompts are not refused for their size. One inside its share whose
-//! reading alone takes longer than its target need only not wait long for
-//! others; outside, only the wait for others counts.
+//! The highest predicted latency, in ms, at which a request is admitted.
+//! aLimitMs: the part of its target latency that it may take, in ms.
+//! Large prompts are not refused for their size: within its workspace's share,
+//! a request whose own prefill takes longer than its target is admitted if the
+//! wait for others is short; beyond it, only the wait for others counts.
 double
-LimitMs(const AdmissionInput& aInput, double aWithin)
+MaxLatencyMs(const AdmissionInput& aInput, double aLimitMs)
 {
-  return IsBeyondAll(aInput) ? aWithin + aInput.ownMs
-                             : std::max(aWithin, kOwnReading * aInput.ownMs);
+  return IsBeyondPromise(aInput)
+           ? aLimitMs + aInput.ownMs
+           : std::max(aLimitMs, kOwnReading * aInput.ownMs);
 }
 
-//! aLeast: coming back sooner makes no sense.
+//! Refuses with a retry time of the predicted latency, but at least aMinWait
+//! and at most a fraction of the time that the caller has left.
 Admission
-Refuse(const AdmissionInput& aInput, Duration aLeast)
+Refuse(const AdmissionInput& aInput, Duration aMinWait)
 {
-  const auto left = static_cast<double>(aInput.timeLeft.count());
+  const auto timeLeftMs = static_cast<double>(aInput.timeLeft.count());
   const auto wait = Duration(static_cast<std::int64_t>(aInput.foreseenMs));
-  const auto most = Duration(static_cast<std::int64_t>(kRetryAfterPart * left));
+  const auto maxWait =
+    Duration(static_cast<std::int64_t>(kRetryAfterPart * timeLeftMs));
   return { false,
-           std::max(kRetryAfterLeast, std::min(std::max(wait, aLeast), most)) };
+           std::max(kRetryAfterLeast,
+                    std::min(std::max(wait, aMinWait), maxWait)) };
 }
 
 }
 
 bool
-ShedsWhileBusy(bool aOwed, Duration aRouterBusy, Duration aTarget)
+ShedsWhileBusy(bool aInsidePromise, Duration aRouterBusy, Duration aTarget)
 {
   const auto busy = static_cast<double>(aRouterBusy.count());
-  return !aOwed &&
+  return !aInsidePromise &&
          busy > kOutsideShareLimit * static_cast<double>(aTarget.count());
 }
 
 Admission
 Admit(const AdmissionInput& aInput)
 {
-  if (IsBeyondAll(aInput) && !aInput.passesLevel && !aInput.idle) {
+  if (IsBeyondPromise(aInput) && !aInput.passesLevel && !aInput.idle) {
     return Refuse(aInput, kLevelWait);
   }
   if (!aInput.passesCallLevel && !aInput.idle) {
     return Refuse(aInput, kRetryAfterLeast);
   }
-  const double part = LimitPart(aInput);
+  const double ratio = LatencyLimitRatio(aInput);
   const auto target = static_cast<double>(aInput.target.count());
   const auto waited = static_cast<double>(aInput.waited.count());
-  const double limit = LimitMs(aInput, part * target) + aInput.unseenMs;
+  const double limit = MaxLatencyMs(aInput, ratio * target) + aInput.unseenMs;
   const bool ahead =
-    IsBeyondAll(aInput) && aInput.othersWait && aInput.excess > 1.0;
+    IsBeyondPromise(aInput) && aInput.othersWait && aInput.excess > 1.0;
   if (aInput.foreseenMs + waited <= limit || (aInput.placesFree && !ahead)) {
     return {};
   }
--- a/src/fleet/internal/evacuations.cpp
+++ b/src/fleet/internal/evacuations.cpp
@@ -6,12 +6,12 @@
 Evacuations::Put(const Evacuation& aEvacuation, TimePoint aNow)
 {
   const auto [found, isNew] =
-    m_zones.try_emplace(aEvacuation.zone, Known{ aEvacuation, aNow, true });
-  auto& known = found->second;
-  known.told = true;
-  if (aEvacuation.revision > known.evacuation.revision) {
-    known.evacuation = aEvacuation;
-    known.learnedAt = aNow;
+    m_zones.try_emplace(aEvacuation.zone, Entry{ aEvacuation, aNow, true });
+  auto& entry = found->second;
+  entry.isReported = true;
+  if (aEvacuation.revision > entry.evacuation.revision) {
+    entry.evacuation = aEvacuation;
+    entry.learnedAt = aNow;
   }
   return isNew ? std::vector{ ZoneNotice{ aEvacuation, ZoneChange::Evacuated } }
                : std::vector<ZoneNotice>{};
@@ -22,15 +22,15 @@
 {
   const auto found = m_zones.find(aZone);
   if (found != m_zones.end()) {
-    found->second.told = false;
+    found->second.isReported = false;
   }
 }
 
 std::vector<ZoneNotice>
 Evacuations::Replace(const std::vector<Evacuation>& aAll, TimePoint aNow)
 {
-  for (auto& [zone, known] : m_zones) {
-    known.told = false;
+  for (auto& [zone, entry] : m_zones) {
+    entry.isReported = false;
   }
   std::vector<ZoneNotice> notices;
   for (const auto& evacuation : aAll) {
@@ -45,13 +45,13 @@
 Evacuations::Proven(TimePoint aAt)
 {
   std::vector<ZoneNotice> notices;
-  std::erase_if(m_zones, [&](const auto& aEntry) {
-    const auto& known = aEntry.second;
-    const bool over = !known.told && aAt >= known.learnedAt;
-    if (over) {
-      notices.push_back({ known.evacuation, ZoneChange::Restored });
+  std::erase_if(m_zones, [&](const auto& aZoneEntry) {
+    const auto& entry = aZoneEntry.second;
+    const bool isEnded = !entry.isReported && aAt >= entry.learnedAt;
+    if (isEnded) {
+      notices.push_back({ entry.evacuation, ZoneChange::Restored });
     }
-    return over;
+    return isEnded;
   });
   return notices;
 }
@@ -60,8 +60,8 @@
 Evacuations::InForce() const
 {
   std::vector<Evacuation> all;
-  for (const auto& [zone, known] : m_zones) {
-    all.push_back(known.evacuation);
+  for (const auto& [zone, entry] : m_zones) {
+    all.push_back(entry.evacuation);
   }
   return all;
 }
--- a/src/fleet/internal/loadspread.cpp
+++ b/src/fleet/internal/loadspread.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-//! Up to where the options' costs rise once the unseen work has come.
+//! The common cost, in ms, that options reach once the unreported work has been
+//! added to the cheapest ones.
 double
-LevelOf(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
+WaterFillLevel(const std::vector<SpreadOption>& aOptions, double aUnreportedMs)
 {
   std::vector<const SpreadOption*> order;
-  double speeds = 0;
+  double totalSpeed = 0;
   for (const auto& option : aOptions) {
     order.push_back(&option);
-    speeds += option.speed;
+    totalSpeed += option.speed;
   }
   std::sort(
     order.begin(), order.end(), [](const auto* aFirst, const auto* aOther) {
       return aFirst->costMs < aOther->costMs;
     });
-  const double work = aUnseenMs * speeds;
+  const double work = aUnreportedMs * totalSpeed;
   double level = order.front()->costMs;
-  double filled = 0; //!< work that brings all so far to the level
-  double speed = 0;  //!< of all so far
+  double filled = 0; //!< work that raises the options so far to the level
+  double speed = 0;  //!< sum over the options so far
   for (const auto* option : order) {
-    const double rise = (option->costMs - level) * speed;
-    if (filled + rise >= work && speed > 0) {
+    const double workToNext = (option->costMs - level) * speed;
+    if (filled + workToNext >= work && speed > 0) {
       break;
     }
-    filled += rise;
+    filled += workToNext;
     level = option->costMs;
     speed += option->speed;
   }
@@ -40,15 +41,15 @@
 }
 
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
+SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnreportedMs)
 {
-  const double level = LevelOf(aOptions, aUnseenMs);
-  std::vector<double> parts;
-  parts.reserve(aOptions.size());
+  const double level = WaterFillLevel(aOptions, aUnreportedMs);
+  std::vector<double> weights;
+  weights.reserve(aOptions.size());
   double sum = 0;
   for (const auto& option : aOptions) {
-    parts.push_back(option.speed * std::max(0.0, level - option.costMs));
-    sum += parts.back();
+    weights.push_back(option.speed * std::max(0.0, level - option.costMs));
+    sum += weights.back();
   }
   if (sum <= 0) {
     const auto best =
@@ -57,30 +58,30 @@
                        [](const auto& aFirst, const auto& aOther) {
                          return aFirst.costMs < aOther.costMs;
                        });
-    std::fill(parts.begin(), parts.end(), 0.0);
-    parts[static_cast<std::size_t>(best - aOptions.begin())] = 1.0;
-    return parts;
+    std::fill(weights.begin(), weights.end(), 0.0);
+    weights[static_cast<std::size_t>(best - aOptions.begin())] = 1.0;
+    return weights;
   }
-  for (auto& part : parts) {
-    part /= sum;
+  for (auto& weight : weights) {
+    weight /= sum;
   }
-  return parts;
+  return weights;
 }
 
 std::size_t
-DrawByParts(const std::vector<double>& aParts, std::uint64_t aDraw)
+DrawByParts(const std::vector<double>& aWeights, std::uint64_t aDraw)
 {
-  constexpr auto kMost =
+  constexpr auto kMaxDraw =
     static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  double left = static_cast<double>(aDraw) / kMost;
+  double remaining = static_cast<double>(aDraw) / kMaxDraw;
   std::size_t last = 0;
-  for (std::size_t i = 0; i < aParts.size(); ++i) {
-    if (aParts[i] <= 0) {
+  for (std::size_t i = 0; i < aWeights.size(); ++i) {
+    if (aWeights[i] <= 0) {
       continue;
     }
     last = i;
-    left -= aParts[i];
-    if (left < 0) {
+    remaining -= aWeights[i];
+    if (remaining < 0) {
       break;
     }
   }
--- a/src/fleet/internal/placement.cpp
+++ b/src/fleet/internal/placement.cpp
@@ -18,7 +18,7 @@
   return base::HashPair(low ^ (high * 0x85ebca6bU), base::Raw(aUpstream));
 }
 
-//! The rank of each candidate in the order of the key.
+//! The rank of each candidate by rendezvous hashing of aKey, from 0.
 std::vector<int>
 RanksOf(const std::vector<Candidate>& aCandidates, std::uint64_t aKey)
 {
@@ -35,49 +35,54 @@
   return ranks;
 }
 
-//! What keeps a request from an upstream besides the wait there, in ms.
+//! The cost in ms of sending a request to an upstream, besides the predicted
+//! wait and the rank's cost.
 double
-Reluctance(const Candidate& aCandidate, double aRereadWeight)
+PlacementCostMs(const Candidate& aCandidate, double aRepeatedPrefillWeight)
 {
-  const double rereading =
+  const double repeatedPrefillMs =
     aCandidate.isEngine ? aCandidate.missingTokens / aCandidate.readRate : 0.0;
-  //! NOTE some upstreams slow down as they fill up, so an emptier one goes
-  //! first although both have places.
-  const double filling = aCandidate.isEngine
-                           ? 0.0
-                           : aCandidate.serviceMs *
-                               std::min(aCandidate.running, aCandidate.slots) /
-                               std::max(aCandidate.slots, 1U);
-  return filling + aCandidate.failurePart * kFailureMs +
-         aRereadWeight * rereading + (aCandidate.sameZone ? 0.0 : kOtherZoneMs);
+  //! NOTE some plain upstreams slow down as they fill up, so one with fewer
+  //! requests is preferred even if both have free slots.
+  const double occupancyMs =
+    aCandidate.isEngine
+      ? 0.0
+      : aCandidate.serviceMs * std::min(aCandidate.running, aCandidate.slots) /
+          std::max(aCandidate.slots, 1U);
+  return occupancyMs + aCandidate.failurePart * kFailureMs +
+         aRepeatedPrefillWeight * repeatedPrefillMs +
+         (aCandidate.sameZone ? 0.0 : kOtherZoneMs);
 }
 
-//! Requests to a plain service have no home: their order differs from one to
-//! the next, and small differences of learned times do not decide.
+//! The rank's cost, in ms, for a plain service. Requests to it have no prefix,
+//! so ranks differ between requests; this cost spreads them where the learned
+//! service times differ only slightly.
 double
-SpreadCost(const Candidate& aCandidate, int aRank)
+PlainRankCostMs(const Candidate& aCandidate, int aRank)
 {
   return kSpreadPart * aCandidate.serviceMs * std::min(aRank, kMostRanks);
 }
 
-//! In work a ms: tokens that an engine reads, or a plain service's requests.
+//! Throughput per ms: tokens that an engine prefills, or requests that a plain
+//! service answers.
 double
-SpeedOf(const Candidate& aCandidate)
+Throughput(const Candidate& aCandidate)
 {
   return aCandidate.isEngine
            ? aCandidate.readRate
            : aCandidate.slots / std::max(aCandidate.serviceMs, 1.0);
 }
 
-struct RereadWeight
+//! The weight of repeated prefill time in the cost of an engine.
+struct RepeatedPrefillWeight
 {
   double operator()(const PrefixAffinity&) const { return kRereadWeight; }
   double operator()(const LeastWait&) const { return 0.0; }
   double operator()(const SampledWait&) const { return 0.0; }
 };
 
-//! How many engines of the order are looked at.
-struct Reach
+//! How many of the ranked engines each policy considers.
+struct MaxRanks
 {
   std::size_t operator()(const PrefixAffinity&) const { return kPrefixReach; }
   std::size_t operator()(const LeastWait&) const
@@ -87,6 +92,7 @@
   std::size_t operator()(const SampledWait&) const { return kSampleSize; }
 };
 
+//! The rank's cost of an engine, in ms.
 struct RankCost
 {
   int rank;
@@ -95,7 +101,7 @@
   {
     return kRankMs * std::min(rank, kMostRanks);
   }
-  //! Only breaks ties, so that routers do not all take the same one.
+  //! Only breaks ties, so that routers do not all choose the same engine.
   double operator()(const LeastWait&) const { return 0.001 * rank; }
   double operator()(const SampledWait&) const { return 0.001 * rank; }
 };
@@ -105,13 +111,14 @@
 double
 Candidate::ForeseenMs() const
 {
-  const double over = static_cast<double>(running) + 1 - slots;
+  const double excessRequests = static_cast<double>(running) + 1 - slots;
   if (isEngine) {
-    const double reading = (unreadTokens + missingTokens) / readRate;
-    //! NOTE without a free slot a request waits for one to end.
-    const double slotWait = over > 0 ? over * kFirstTokenFixedMs : 0.0;
-    const double copying = copy ? copy->millis : 0.0;
-    return kFirstTokenFixedMs + copying + reading + slotWait;
+    const double prefillMs = (unreadTokens + missingTokens) / readRate;
+    //! NOTE without a free slot a request waits until others end.
+    const double slotWaitMs =
+      excessRequests > 0 ? excessRequests * kFirstTokenFixedMs : 0.0;
+    const double copyMs = copy ? copy->millis : 0.0;
+    return kFirstTokenFixedMs + copyMs + prefillMs + slotWaitMs;
   }
   return serviceMs * Rounds();
 }
@@ -140,7 +147,7 @@
 std::size_t
 ReachOf(const PlacementPolicy& aPolicy)
 {
-  return std::visit(Reach{}, aPolicy);
+  return std::visit(MaxRanks{}, aPolicy);
 }
 
 void
@@ -169,25 +176,28 @@
 Place(const PlacementPolicy& aPolicy,
       const std::vector<Candidate>& aCandidates,
       std::uint64_t aKey,
-      const UnseenLoad& aUnseen)
+      const UnseenLoad& aUnreported)
 {
   if (aCandidates.empty()) {
     return std::nullopt;
   }
   const auto ranks = RanksOf(aCandidates, aKey);
-  const double rereadWeight = std::visit(RereadWeight{}, aPolicy);
+  const double repeatedPrefillWeight =
+    std::visit(RepeatedPrefillWeight{}, aPolicy);
   std::vector<SpreadOption> options;
   options.reserve(aCandidates.size());
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
     const double rankCost = candidate.isEngine
                               ? std::visit(RankCost{ ranks[i] }, aPolicy)
-                              : SpreadCost(candidate, ranks[i]);
-    options.push_back(
-      { candidate.ForeseenMs() + Reluctance(candidate, rereadWeight) + rankCost,
-        SpeedOf(candidate) });
+                              : PlainRankCostMs(candidate, ranks[i]);
+    options.push_back({ candidate.ForeseenMs() +
+                          PlacementCostMs(candidate, repeatedPrefillWeight) +
+                          rankCost,
+                        Throughput(candidate) });
   }
-  const auto best = DrawByParts(SpreadParts(options, aUnseen.ms), aUnseen.draw);
+  const auto best =
+    DrawByParts(SpreadParts(options, aUnreported.ms), aUnreported.draw);
   return Placed{ best, aCandidates[best].ForeseenMs(), ranks[best] };
 }
 
--- a/src/fleet/internal/prefixcopy.cpp
+++ b/src/fleet/internal/prefixcopy.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kBitsPerByte = 8.0;
-constexpr double kMbpsPerBitPerMs = 1000.0;
+constexpr double kBitsPerMsPerMbps = 1000.0;
 
 }
 
@@ -17,7 +17,7 @@
 CopyMillis(const Service& aService, double aTokens)
 {
   const double bits = aTokens * aService.bytesPerToken * kBitsPerByte;
-  return kCopySetupMs + bits / (aService.copyMbps * kMbpsPerBitPerMs);
+  return kCopySetupMs + bits / (aService.copyMbps * kBitsPerMsPerMbps);
 }
 
 std::optional<PrefixCopy>
@@ -29,19 +29,19 @@
   if (!aService.CanCopy()) {
     return std::nullopt;
   }
-  const auto preference = [&](const PrefixHolder& aHolder) {
-    const auto drawn =
+  const auto rank = [&](const PrefixHolder& aHolder) {
+    const auto tieBreaker =
       base::HashPair(static_cast<std::uint32_t>(aKey ^ (aKey >> 32)),
                      base::Raw(aHolder.upstream));
     return std::make_tuple(
-      aHolder.heldTokens, aHolder.zone == aReader.zone, drawn);
+      aHolder.heldTokens, aHolder.zone == aReader.zone, tieBreaker);
   };
   const PrefixHolder* best = nullptr;
   for (const auto& holder : aHolders) {
     if (holder.upstream == aReader.upstream) {
       continue;
     }
-    if (best == nullptr || preference(holder) > preference(*best)) {
+    if (best == nullptr || rank(holder) > rank(*best)) {
       best = &holder;
     }
   }
--- a/src/fleet/internal/prefixmap.cpp
+++ b/src/fleet/internal/prefixmap.cpp
@@ -8,7 +8,7 @@
 
 template<typename Holders>
 auto
-FindIn(Holders& aHolders, UpstreamId aUpstream)
+FindHolder(Holders& aHolders, UpstreamId aUpstream)
 {
   return std::find_if(
     aHolders.begin(), aHolders.end(), [&](const PrefixMap::Holder& aHolder) {
@@ -22,11 +22,11 @@
 PrefixMap::Used(std::uint64_t aPart, UpstreamId aUpstream)
 {
   auto& holders = m_holders[aPart];
-  const auto found = FindIn(holders, aUpstream);
+  const auto found = FindHolder(holders, aUpstream);
   if (found == holders.end()) {
-    holders.push_back({ aUpstream, m_filled });
+    holders.push_back({ aUpstream, m_enteredTokens });
   } else {
-    found->lastUse = m_filled;
+    found->lastUse = m_enteredTokens;
   }
 }
 
@@ -35,12 +35,12 @@
 {
   std::uint32_t held = 0;
   for (const auto& part : aWork.prompt) {
-    const auto known = m_holders.find(part.id);
-    if (known == m_holders.end()) {
+    const auto entry = m_holders.find(part.id);
+    if (entry == m_holders.end()) {
       break;
     }
-    const auto found = FindIn(known->second, aUpstream);
-    if (found == known->second.end() || IsOld(*found)) {
+    const auto found = FindHolder(entry->second, aUpstream);
+    if (found == entry->second.end() || IsExpired(*found)) {
       break;
     }
     held += part.tokens;
@@ -52,12 +52,12 @@
 PrefixMap::HoldersOf(std::uint64_t aPart) const
 {
   std::vector<UpstreamId> holders;
-  const auto known = m_holders.find(aPart);
-  if (known == m_holders.end()) {
+  const auto entry = m_holders.find(aPart);
+  if (entry == m_holders.end()) {
     return holders;
   }
-  for (const auto& holder : known->second) {
-    if (!IsOld(holder)) {
+  for (const auto& holder : entry->second) {
+    if (!IsExpired(holder)) {
       holders.push_back(holder.upstream);
     }
   }
@@ -69,7 +69,7 @@
 {
   for (auto& [part, holders] : m_holders) {
     std::erase_if(holders,
-                  [&](const Holder& aHolder) { return IsOld(aHolder); });
+                  [&](const Holder& aHolder) { return IsExpired(aHolder); });
   }
   std::erase_if(m_holders,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
--- a/src/fleet/internal/queuelimit.cpp
+++ b/src/fleet/internal/queuelimit.cpp
@@ -10,9 +10,10 @@
 std::size_t
 QueueLimit(double aProcessorShare)
 {
-  const double seconds = std::chrono::duration<double>(kQueueWait).count();
-  const double read = kReadPerCoreSecond * aProcessorShare * seconds;
-  return std::clamp(static_cast<std::size_t>(read), kQueueLeast, kQueueMost);
+  const double waitSeconds = std::chrono::duration<double>(kQueueWait).count();
+  const double acceptable = kReadPerCoreSecond * aProcessorShare * waitSeconds;
+  return std::clamp(
+    static_cast<std::size_t>(acceptable), kQueueLeast, kQueueMost);
 }
 
 }
--- a/src/fleet/internal/readingqueue.cpp
+++ b/src/fleet/internal/readingqueue.cpp
@@ -8,49 +8,51 @@
 
 namespace {
 
-//! Most of a prompt that is taken for read before its first token comes.
-constexpr double kMostTakenForRead = 0.9;
-//! A first token is overdue at so many times the foreseen time and a little
-//! more: the spread of forecasts of healthy engines.
-constexpr double kOverdueTimes = 1.5;
+//! The highest fraction of a prompt that counts as prefilled before its first
+//! token arrives.
+constexpr double kMaxPrefilledRatio = 0.9;
+//! A first token is overdue after kOverdueFactor times the predicted time plus
+//! kOverdueMs, which covers the prediction errors for healthy engines.
+constexpr double kOverdueFactor = 1.5;
 constexpr double kOverdueMs = 50.0;
 
 }
 
 double
-ReadingQueue::Reading::Left(double aNow) const
+ReadingQueue::Prefill::TokensLeft(double aNow) const
 {
-  if (aNow >= overdueAt || aNow <= beginsAt) {
+  if (aNow >= overdueAt || aNow <= startsAt) {
     return tokens;
   }
-  const double part = std::min((aNow - beginsAt) / readMs, kMostTakenForRead);
-  return tokens * (1.0 - part);
+  const double prefilledRatio =
+    std::min((aNow - startsAt) / durationMs, kMaxPrefilledRatio);
+  return tokens * (1.0 - prefilledRatio);
 }
 
 void
 ReadingQueue::Sent(std::uint64_t aAttempt,
                    double aTokens,
                    double aAheadMs,
-                   double aReadMs,
+                   double aPrefillMs,
                    TimePoint aNow)
 {
-  if (aTokens <= 0 || aReadMs <= 0) {
+  if (aTokens <= 0 || aPrefillMs <= 0) {
     return;
   }
   const auto now = static_cast<double>(aNow.count());
-  m_readings.push_back(
+  m_prefills.push_back(
     { aAttempt,
       aTokens,
       now + aAheadMs,
-      aReadMs,
-      now + kOverdueTimes * (aAheadMs + aReadMs) + kOverdueMs });
+      aPrefillMs,
+      now + kOverdueFactor * (aAheadMs + aPrefillMs) + kOverdueMs });
 }
 
 void
 ReadingQueue::Done(std::uint64_t aAttempt)
 {
-  std::erase_if(m_readings, [&](const Reading& aReading) {
-    return aReading.attempt == aAttempt;
+  std::erase_if(m_prefills, [&](const Prefill& aPrefill) {
+    return aPrefill.attempt == aAttempt;
   });
 }
 
@@ -58,8 +60,8 @@
 ReadingQueue::Unread(TimePoint aNow) const
 {
   double unread = 0;
-  for (const auto& reading : m_readings) {
-    unread += reading.Left(static_cast<double>(aNow.count()));
+  for (const auto& prefill : m_prefills) {
+    unread += prefill.TokensLeft(static_cast<double>(aNow.count()));
   }
   return unread;
 }
--- a/src/fleet/internal/retrypolicy.cpp
+++ b/src/fleet/internal/retrypolicy.cpp
@@ -18,9 +18,11 @@
                                   : AfterFailure::AnswerUnknown;
 }
 
-//! A router that is cut off from all upstreams must not hold its callers.
+//! Whether a retry needs no budget. Ends after half of the target latency, so
+//! that a router that is cut off from all upstreams answers its callers in
+//! time.
 bool
-IsFree(const FailedAttempt& aFailed)
+IsExemptFromBudget(const FailedAttempt& aFailed)
 {
   return aFailed.neverSent && aFailed.waited <= aFailed.target / 2;
 }
@@ -30,12 +32,13 @@
 AfterFailure
 DecideAfterFailure(const FailedAttempt& aFailed, bool aBudgetAllows)
 {
-  const bool resumes = aFailed.kind == CallKind::Stream && aFailed.mayRunAgain;
-  if (aFailed.answerBegun && !resumes) {
+  const bool canResume =
+    aFailed.kind == CallKind::Stream && aFailed.mayRunAgain;
+  if (aFailed.answerBegun && !canResume) {
     return AfterFailure::Cut;
   }
-  const bool mayTry = aBudgetAllows || IsFree(aFailed);
-  if (!mayTry || aFailed.timeLeft < kRetryLeast) {
+  const bool retryAllowed = aBudgetAllows || IsExemptFromBudget(aFailed);
+  if (!retryAllowed || aFailed.timeLeft < kRetryLeast) {
     return FinalAnswer(aFailed);
   }
   const bool nothingRan = aFailed.attemptsRun == 0;
@@ -43,10 +46,10 @@
     return aFailed.attemptsNotRun < kMostNotRunAttempts ? AfterFailure::Retry
                                                         : FinalAnswer(aFailed);
   }
-  const bool attemptLeft = aFailed.attemptsRun < aFailed.maxAttempts &&
-                           aFailed.attemptsNotRun < kMostNotRunAttempts;
-  return aFailed.mayRunAgain && attemptLeft ? AfterFailure::Retry
-                                            : FinalAnswer(aFailed);
+  const bool hasAttemptsLeft = aFailed.attemptsRun < aFailed.maxAttempts &&
+                               aFailed.attemptsNotRun < kMostNotRunAttempts;
+  return aFailed.mayRunAgain && hasAttemptsLeft ? AfterFailure::Retry
+                                                : FinalAnswer(aFailed);
 }
 
 void
@@ -64,29 +67,30 @@
 }
 
 double
-RetryBudget::SlackHere() const
+RetryBudget::LocalSlack() const
 {
   return m_slack * kRetryBudgetUse / static_cast<double>(m_routers);
 }
 
-//! The slack is refilled over one window, so that no window of that length
-//! holds more than twice this router's part of it: with kRetryBudgetUse
-//! that is the whole part.
-RetryBudget::Account&
+//! The slack is refilled over one window, so a window of that length admits at
+//! most twice the bucket size. LocalSlack includes kRetryBudgetUse, a half, so
+//! twice the bucket size is this router's full share.
+RetryBudget::Bucket&
 RetryBudget::Refill(const std::string& aService, TimePoint aNow)
 {
-  auto& account = m_accounts[aService];
-  const double slack = SlackHere();
-  if (!account.opened) {
-    account.opened = true;
-    account.tokens = slack;
+  auto& bucket = m_buckets[aService];
+  const double slack = LocalSlack();
+  if (!bucket.initialized) {
+    bucket.initialized = true;
+    bucket.tokens = slack;
   } else {
-    const auto past = static_cast<double>((aNow - account.at).count());
-    account.tokens += slack * past / static_cast<double>(m_window.count());
+    const auto elapsed =
+      static_cast<double>((aNow - bucket.refilledAt).count());
+    bucket.tokens += slack * elapsed / static_cast<double>(m_window.count());
   }
-  account.at = aNow;
-  account.tokens = std::min(account.tokens, slack);
-  return account;
+  bucket.refilledAt = aNow;
+  bucket.tokens = std::min(bucket.tokens, slack);
+  return bucket;
 }
 
 void
--- a/src/fleet/internal/suitability.cpp
+++ b/src/fleet/internal/suitability.cpp
@@ -12,11 +12,12 @@
          const std::string& aZone,
          const PlaceRequest& aRequest)
 {
-  const auto* ofRoute = &aRequest.route->allowedRegions;
-  const auto* ofWorkspace = aRequest.workspaceRegions;
-  const bool isBound =
-    !ofRoute->empty() || (ofWorkspace != nullptr && !ofWorkspace->empty());
-  if (!isBound) {
+  const auto* routeRegions = &aRequest.route->allowedRegions;
+  const auto* workspaceRegions = aRequest.workspaceRegions;
+  const bool isRestricted =
+    !routeRegions->empty() ||
+    (workspaceRegions != nullptr && !workspaceRegions->empty());
+  if (!isRestricted) {
     return true;
   }
   const auto region = aRegionOfZone.find(aZone);
@@ -28,7 +29,7 @@
            std::find(aRegions->begin(), aRegions->end(), region->second) !=
              aRegions->end();
   };
-  return allows(ofRoute) && allows(ofWorkspace);
+  return allows(routeRegions) && allows(workspaceRegions);
 }
 
 Duration
--- a/src/fleet/internal/upstreamhealth.cpp
+++ b/src/fleet/internal/upstreamhealth.cpp
@@ -10,44 +10,47 @@
 double
 UpstreamHealth::FailurePart(TimePoint aNow) const
 {
-  const auto past = static_cast<double>((aNow - m_countedAt).count());
-  const auto half = static_cast<double>(kFailureHalfLife.count());
-  return m_failurePart * std::exp2(-past / half);
+  const auto elapsed = static_cast<double>((aNow - m_updatedAt).count());
+  const auto halfLife = static_cast<double>(kFailureHalfLife.count());
+  return m_failureRatio * std::exp2(-elapsed / halfLife);
 }
 
 void
-UpstreamHealth::Count(double aFailure, TimePoint aNow)
+UpstreamHealth::UpdateRatio(double aFailure, TimePoint aNow)
 {
   const double before = FailurePart(aNow);
-  m_failurePart = before + kFailureGain * (aFailure - before);
-  m_countedAt = aNow;
+  m_failureRatio = before + kFailureGain * (aFailure - before);
+  m_updatedAt = aNow;
 }
 
 void
 UpstreamHealth::Succeeded(TimePoint aNow)
 {
-  Count(0.0, aNow);
-  m_inRow = 0;
+  UpdateRatio(0.0, aNow);
+  m_consecutiveFailures = 0;
   m_ejection = Duration{};
 }
 
 void
 UpstreamHealth::AnsweredFailure(TimePoint aNow)
 {
-  Count(1.0, aNow);
+  UpdateRatio(1.0, aNow);
 }
 
 bool
 UpstreamHealth::Failed(TimePoint aNow, bool aMayEject)
 {
-  Count(1.0, aNow);
-  m_inRow++;
-  //! NOTE after an ejection one more failure ejects again.
-  const bool again = m_ejection > Duration{};
-  if (!aMayEject || (m_inRow < kFailuresToEject && !again) || IsEjected(aNow)) {
+  UpdateRatio(1.0, aNow);
+  m_consecutiveFailures++;
+  //! NOTE after an ejection, a single failure before the next success ejects
+  //! the upstream again, for twice as long.
+  const bool wasEjected = m_ejection > Duration{};
+  if (!aMayEject || (m_consecutiveFailures < kFailuresToEject && !wasEjected) ||
+      IsEjected(aNow)) {
     return false;
   }
-  m_ejection = again ? std::min(m_ejection * 2, kEjectionMost) : kEjectionFirst;
+  m_ejection =
+    wasEjected ? std::min(m_ejection * 2, kEjectionMost) : kEjectionFirst;
   m_ejectedUntil = aNow + m_ejection;
   return true;
 }
--- a/src/fleet/internal/warmup.cpp
+++ b/src/fleet/internal/warmup.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000.0;
-//! Of a limit that holds for all routers, what the owner uses.
-constexpr double kOwnerPart = 0.5;
-//! Longer than the pause between two requests at any rate of use.
-constexpr Duration kSentKept{ 60000 };
+//! The fraction of the limit for all routers that the owner uses.
+constexpr double kOwnerRatio = 0.5;
+//! Retention of send times. Longer than the interval between two requests at
+//! any rate that occurs in practice.
+constexpr Duration kSentRetention{ 60000 };
 
 }
 
@@ -37,13 +38,13 @@
     const auto rank = [&](std::uint32_t aRouter) {
       return base::HashPair(aRouter, base::Raw(aUpstream));
     };
-    const auto own = rank(m_routers.self);
-    found->second =
-      std::none_of(m_routers.routers.begin(),
-                   m_routers.routers.end(),
-                   [&](std::uint32_t aRouter) {
-                     return aRouter != m_routers.self && rank(aRouter) >= own;
-                   });
+    const auto ownRank = rank(m_routers.self);
+    found->second = std::none_of(m_routers.routers.begin(),
+                                 m_routers.routers.end(),
+                                 [&](std::uint32_t aRouter) {
+                                   return aRouter != m_routers.self &&
+                                          rank(aRouter) >= ownRank;
+                                 });
   }
   return found->second;
 }
@@ -54,9 +55,10 @@
   if (!IsOwner(aUpstream)) {
     return 0;
   }
-  const double most = aPerSecond * m_limit.overrun + m_limit.slack;
-  //! NOTE a second may hold one request more than its length allows.
-  return std::min(aPerSecond, std::max(kOwnerPart * most - 1, 0.0));
+  const double limit = aPerSecond * m_limit.overrun + m_limit.slack;
+  //! NOTE at a fixed interval, a window of a second can contain one request
+  //! more than the rate.
+  return std::min(aPerSecond, std::max(kOwnerRatio * limit - 1, 0.0));
 }
 
 bool
@@ -70,8 +72,8 @@
   if (last == m_sentAt.end()) {
     return true;
   }
-  const auto past = static_cast<double>((aNow - last->second).count());
-  return past >= kMillisPerSecond / rate;
+  const auto elapsedMs = static_cast<double>((aNow - last->second).count());
+  return elapsedMs >= kMillisPerSecond / rate;
 }
 
 void
@@ -84,7 +86,7 @@
 WarmUp::Forget(TimePoint aNow)
 {
   std::erase_if(m_sentAt, [&](const auto& aEntry) {
-    return aNow - aEntry.second > kSentKept;
+    return aNow - aEntry.second > kSentRetention;
   });
 }
 
--- a/src/fleet/loadspread.h
+++ b/src/fleet/loadspread.h
@@ -6,33 +6,35 @@
 
 namespace hemlockgauge::fleet {
 
-//! A place that a request may go to.
+//! A destination that a request may be sent to.
 struct SpreadOption
 {
-  double costMs = 0; //!< what keeps requests away, the wait there among it
-  double speed = 1;  //!< work done there in a ms, in any unit
+  double costMs = 0; //!< cost of sending there, including the wait
+  double speed = 1;  //!< work done there per ms, in any common unit
 };
 
-//! What this router can't know yet: what others sent since the news of load
-//! that it decides on.
+//! Load that other routers have sent since the load reports that this router
+//! decides on.
 struct UnseenLoad
 {
-  //! The wait that it adds to each place on average, in ms.
+  //! The mean wait that it adds at each destination, in ms.
   double ms = 0;
-  //! Differs between requests: draws one of the places.
+  //! A hash that differs between requests and selects a destination.
   std::uint64_t draw = 0;
 };
 
-//! The part of the requests that each option should get, so that the costs are
-//! level once as much work has come as aUnseenMs says: water poured over an
-//! uneven ground. Answers old news: if all sent to the option that was best in
-//! it, that one would get the work of all until the next news. Without unseen
-//! work the best option gets everything. aOptions: at least one.
+//! Returns the fraction of requests that each option should get, so that the
+//! costs are equal once the unreported work of aUnreportedMs has been added
+//! (water filling). If all routers sent to the option that was best in the last
+//! load reports, it would get the work of all of them until the next reports.
+//! Without unreported work, the cheapest option gets everything. aOptions must
+//! not be empty.
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs);
+SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnreportedMs);
 
-//! The option that aDraw falls on. aParts: at least one, their sum is 1.
+//! Returns the index of the option that aDraw selects at random. aWeights must
+//! not be empty and must sum to 1; aDraw is uniform over all its values.
 std::size_t
-DrawByParts(const std::vector<double>& aParts, std::uint64_t aDraw);
+DrawByParts(const std::vector<double>& aWeights, std::uint64_t aDraw);
 
 }
--- a/src/fleet/memoryuse.h
+++ b/src/fleet/memoryuse.h
@@ -6,50 +6,56 @@
 
 namespace hemlockgauge::fleet {
 
-//! What requests take of an engine's memory, learned from those that began
-//! here lately. Routers tell each other what has to be read; what else fills
-//! the engines' memories is taken to follow it in the same proportion.
+//! Estimates how many tokens of an engine's KV cache requests use, from the
+//! requests that this router started lately. Routers report to each other only
+//! the tokens that need prefill; all other tokens that enter the engines' KV
+//! caches are assumed to be proportional to these.
 class MemoryUse
 {
 public:
-  //! aReadTokens, aCopiedTokens: of the prompt, that the engine lacked.
-  void Begun(const Work& aWork, double aReadTokens, double aCopiedTokens)
+  //! Records the start of a request. aPrefillTokens and aCopiedTokens: the
+  //! prompt tokens missing at the engine, by whether it prefills or copies
+  //! them.
+  void Begun(const Work& aWork, double aPrefillTokens, double aCopiedTokens)
   {
     const double output = aWork.outputTokens;
-    Learn(m_weight, 1.0);
-    Learn(m_read, aReadTokens);
-    Learn(m_filled, aReadTokens + aCopiedTokens + output);
-    Learn(m_running, aWork.OwnTokens() + kOutputHalf * output);
+    UpdateMean(m_weight, 1.0);
+    UpdateMean(m_prefilled, aPrefillTokens);
+    UpdateMean(m_filled, aPrefillTokens + aCopiedTokens + output);
+    UpdateMean(m_running, aWork.OwnTokens() + kMeanOutputRatio * output);
   }
 
-  //! Tokens that come into the memory for each one that is read.
+  //! Tokens that enter the KV cache for each token that is prefilled.
   double FilledPerRead() const
   {
-    return m_read > 0 ? std::clamp(m_filled / m_read, 1.0, kFilledMost) : 1.0;
+    return m_prefilled > 0
+             ? std::clamp(m_filled / m_prefilled, 1.0, kMaxFilledPerRead)
+             : 1.0;
   }
-  //! Tokens that a running request has for itself, in the mean.
+  //! Mean number of unshared tokens of a running request.
   double TokensOfRunning() const
   {
     return m_weight > 0 ? m_running / m_weight : 0.0;
   }
 
 private:
-  //! Weight of one more request: the last hundred or so count.
-  static constexpr double kGain = 0.01;
-  //! Of its output a running request has made half, in the mean.
-  static constexpr double kOutputHalf = 0.5;
-  //! Where all prompts are copied, nothing is learned of what is read.
-  static constexpr double kFilledMost = 4.0;
-
-  static void Learn(double& aSum, double aSample)
+  //! Smoothing factor: averages over about the last hundred requests.
+  static constexpr double kSmoothing = 0.01;
+  //! A running request has generated half of its output on average.
+  static constexpr double kMeanOutputRatio = 0.5;
+  //! Bounds the ratio where nearly all prompts are copied: the few prefilled
+  //! tokens are then no usable denominator.
+  static constexpr double kMaxFilledPerRead = 4.0;
+
+  static void UpdateMean(double& aMean, double aSample)
   {
-    aSum += kGain * (aSample - aSum);
+    aMean += kSmoothing * (aSample - aMean);
   }
 
-  double m_weight = 0; //!< of all samples; 1 once there are many
-  double m_read = 0;
-  double m_filled = 0;
-  double m_running = 0;
+  double m_weight = 0;    //!< sum of the weights of all samples; tends to 1
+  double m_prefilled = 0; //!< mean tokens prefilled per request
+  double m_filled = 0;    //!< mean tokens that enter the KV cache per request
+  double m_running = 0;   //!< mean unshared tokens of a running request
 };
 
 }
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -12,44 +12,46 @@
 
 namespace hemlockgauge::fleet {
 
-//! An upstream as a request sees it that looks for a place.
+//! An upstream that may get a request, with the estimates for that request.
 struct Candidate
 {
   UpstreamId upstream{};
-  double unreadTokens = 0;        //!< at the upstream, of all routers
-  double missingTokens = 0;       //!< of this request, to be read there
-  std::optional<PrefixCopy> copy; //!< what it needs not read for that
-  double readRate = 1;            //!< tokens a ms
-  std::uint32_t running = 0;
+  double unreadTokens = 0;        //!< pending there, from all routers
+  double missingTokens = 0;       //!< of this request, to be prefilled there
+  std::optional<PrefixCopy> copy; //!< replaces part of the prefill
+  double readRate = 1;            //!< prefilled tokens per ms
+  std::uint32_t running = 0;      //!< requests, of all routers
   std::uint32_t slots = 1;
-  double serviceMs = 0; //!< mean time that a plain service works on a request
-  double failurePart = 0;
+  double serviceMs = 0;   //!< mean service time of a plain upstream's request
+  double failurePart = 0; //!< recent failures, see UpstreamHealth
   bool sameZone = true;
   bool isEngine = false;
 
-  //! Foreseen time to the first token, or to a plain service's answer.
+  //! Predicted time in ms to the first token, or to a plain service's answer.
   double ForeseenMs() const;
-  //! So many times a plain service works off its slots until it has answered
-  //! one more request; 1 where a slot is free.
+  //! How many mean service times one more request takes at a plain service,
+  //! including the wait for a slot; 1 where a slot is free.
   double Rounds() const;
 };
 
-//! Places by the shared prefix: an order of the upstreams that is the same
-//! at all routers without a message (rendezvous hashing), left for another
-//! rank as soon as that one is that much sooner. Answers the load pattern
-//! "few long prefixes, many requests": read once, found again after.
-//! Only the first kPrefixReach ranks count. What a router knows of the load
-//! is a few hundred ms old; if all looked at all engines, all would send to
-//! the same few that were empty then, and fill them for a second.
+//! Places requests by their shared prefix. Rendezvous hashing of the prefix
+//! ranks the upstreams alike at all routers without communication; a lower
+//! ranked upstream is used once it is sooner by more than the rank's cost.
+//! For loads of few long prefixes and many requests, each prefix is prefilled
+//! once and then found in the KV cache. Only the first kPrefixReach ranks are
+//! considered: load reports are a few hundred ms old, so if all routers looked
+//! at all engines, all would send to the few that were idle then and overload
+//! them for a second.
 struct PrefixAffinity
 {};
 
-//! Baseline: the least foreseen wait, whatever is held where.
+//! Baseline: the shortest predicted wait, without regard to cached prefixes.
 struct LeastWait
 {};
 
-//! The least foreseen wait of kSampleSize engines that are drawn by the key:
-//! routers with the same old view then draw different ones.
+//! The shortest predicted wait among kSampleSize engines that are sampled by
+//! the request's key, so that routers with the same outdated load reports
+//! choose different engines.
 struct SampledWait
 {};
 
@@ -66,35 +68,38 @@
 PlacementPolicy
 MakePlacementPolicy(PlacementKind aKind);
 
-//! For a request that would be refused where the policy wants it: elsewhere,
-//! whatever has to be read again for that. Its key is the request's own.
+//! The policy for a request that would be refused where the regular policy
+//! places it: uses other engines, even if the whole prompt needs prefill there.
+//! To be used with the request's own key instead of its prefix.
 PlacementPolicy
 Spread();
 
-//! How many engines of the key's order aPolicy looks at.
+//! How many of the engines ranked by the key aPolicy considers.
 std::size_t
 ReachOf(const PlacementPolicy& aPolicy);
 
-//! Keeps the first aReach in the order of the key, in any order.
+//! Keeps the aReach highest ranked upstreams for aKey, in unspecified order.
 void
 KeepNearest(std::vector<UpstreamId>& aUpstreams,
             std::uint64_t aKey,
             std::size_t aReach);
 
+//! The chosen upstream.
 struct Placed
 {
-  std::size_t candidate = 0; //!< index
-  double foreseenMs = 0;
-  int rank = 0; //!< in the order of the prefix; 0 for plain requests
+  std::size_t candidate = 0; //!< index into the candidates
+  double foreseenMs = 0;     //!< see Candidate::ForeseenMs
+  int rank = 0;              //!< by rendezvous hashing of the key, from 0
 };
 
-//! aCandidates: those within the policy's reach. aKey: by which the order of
-//! the upstreams is drawn: the shared part of the prompt, or anything that
-//! differs between requests without one.
+//! Chooses one of aCandidates, which are the upstreams within the policy's
+//! reach, or nothing if there are none. aKey ranks the upstreams: the id of the
+//! prompt's shared part, or any value that differs between requests if there is
+//! none.
 std::optional<Placed>
 Place(const PlacementPolicy& aPolicy,
       const std::vector<Candidate>& aCandidates,
       std::uint64_t aKey,
-      const UnseenLoad& aUnseen = {});
+      const UnseenLoad& aUnreported = {});
 
 }
--- a/src/fleet/prefixcopy.h
+++ b/src/fleet/prefixcopy.h
@@ -8,7 +8,7 @@
 
 namespace hemlockgauge::fleet {
 
-//! An engine that holds leading parts of a prompt.
+//! An engine whose KV cache holds leading parts of a prompt.
 struct PrefixHolder
 {
   UpstreamId upstream{};
@@ -16,38 +16,42 @@
   std::string_view zone;
 };
 
-//! An engine that would read the rest of a prompt.
+//! An engine that would prefill the rest of a prompt.
 struct PrefixReader
 {
   UpstreamId upstream{};
   std::string_view zone;
   std::uint32_t heldTokens = 0;
-  double tokensPerMs = 1;
+  double tokensPerMs = 1; //!< prefill rate
 };
 
-//! A copy of prompt memory from one engine to another before reading begins.
+//! A copy of KV cache entries from one engine to another before prefill starts.
 struct PrefixCopy
 {
   UpstreamId from{};
-  //! That need not be read again; 0: none, as far as is known.
+  //! Tokens that need no prefill thanks to the copy; 0: none are known to be
+  //! missing.
   double tokens = 0;
-  double millis = 0; //!< until they are there
+  double millis = 0; //!< duration of the copy
 };
 
-//! How long aService's engines take to copy the memory of aTokens.
+//! Time in ms that aService's engines take to copy the KV cache of aTokens.
 double
 CopyMillis(const Service& aService, double aTokens);
 
-//! Answers the load "a prefix is held by one engine, and another one is
-//! free": without copies it is read again at each, or waits for its holder.
-//! Over two days of 50 s with 12 engines it cut shared tokens that were read
-//! again from 1.7 and 2.2 million to 0.54 and 0.60, together with the age of
-//! prefixes that follows from the engines' memory.
-//! The holder with most is taken, one in the own zone before others, drawn by
-//! aKey among equals so that no holder gives to all. Nothing where engines
-//! have no links between them, or where reading is about as quick
-//! (kCopyWorth). A reader that is taken to hold as much is told of another
-//! holder all the same: it may have given up what it held.
+//! Chooses the engine from which aReader copies the leading parts of a prompt.
+//! Without copies, a prefix that one engine holds is prefilled again at each
+//! other engine, or its requests wait for the holder. Together with an expiry
+//! of prefixes by KV cache size, copies reduced the shared tokens that were
+//! prefilled again in two runs of 50 s with 12 engines from 1.7 and 2.2 million
+//! to 0.54 and 0.60 million.
+//!
+//! Chooses the holder of the most tokens, among equals one in the reader's
+//! zone, and then by a hash of aKey, which spreads copies over the holders.
+//! Returns nothing if the engines have no links between them or if prefill
+//! takes about as long as the copy (kCopyWorth). If the reader is assumed to
+//! hold as much, a holder is returned nevertheless, because the reader may have
+//! evicted it.
 std::optional<PrefixCopy>
 ChooseCopy(const Service& aService,
            const std::vector<PrefixHolder>& aHolders,
--- a/src/fleet/prefixmap.h
+++ b/src/fleet/prefixmap.h
@@ -9,42 +9,46 @@
 
 namespace hemlockgauge::fleet {
 
-//! Which parts of prompts the upstreams are taken to hold, from what was
-//! sent where, here and by other routers. An engine gives up what it has not
-//! used for longest when something new needs the room; so age is counted in
-//! tokens that came into a mean engine's memory since, and nothing gets old
-//! while nothing is read.
+//! Estimates which prompt parts the upstreams hold in their KV caches, from the
+//! requests that this and other routers sent. Engines evict the least recently
+//! used parts when new ones need the space, so age is counted in tokens that
+//! entered the KV cache of an average engine since, and nothing expires while
+//! no tokens enter it.
 class PrefixMap
 {
 public:
+  //! An upstream that holds a prompt part.
   struct Holder
   {
     UpstreamId upstream{};
-    double lastUse = 0; //!< what had come into a mean engine's memory by then
+    double lastUse = 0; //!< value of m_enteredTokens at the last use
   };
 
-  //! How much comes into an engine's memory until it has given up what it did
-  //! not use.
-  void SetKept(double aTokens) { m_kept = aTokens; }
-  //! aPart was read, or found again, at aUpstream.
+  //! Sets how many tokens enter an engine's KV cache until it has evicted a
+  //! part that was not used meanwhile.
+  void SetKept(double aTokens) { m_retainedTokens = aTokens; }
+  //! Records that a request used aPart at aUpstream, cached or not.
   void Used(std::uint64_t aPart, UpstreamId aUpstream);
-  //! Tokens of the prompt's leading parts that aUpstream is taken to hold.
+  //! Tokens of the prompt's leading parts that aUpstream is estimated to hold.
   std::uint32_t Held(const Work& aWork, UpstreamId aUpstream) const;
-  //! Those that are taken to hold aPart, in no order.
+  //! The upstreams that are estimated to hold aPart, in unspecified order.
   std::vector<UpstreamId> HoldersOf(std::uint64_t aPart) const;
-  //! aTokens more came into a mean engine's memory.
-  void Advance(double aTokens) { m_filled += aTokens; }
+  //! Records that aTokens more entered the KV cache of an average engine.
+  void Advance(double aTokens) { m_enteredTokens += aTokens; }
+  //! Drops expired entries.
   void Forget();
+  //! The number of pairs of a part and an upstream, expired ones included.
   std::size_t Size() const;
 
 private:
-  bool IsOld(const Holder& aHolder) const
+  bool IsExpired(const Holder& aHolder) const
   {
-    return m_filled - aHolder.lastUse > m_kept;
+    return m_enteredTokens - aHolder.lastUse > m_retainedTokens;
   }
 
-  double m_kept = kPrefixKeptUnsaid;
-  double m_filled = 0; //!< tokens, of a mean engine
+  double m_retainedTokens = kPrefixKeptUnsaid;
+  double m_enteredTokens =
+    0; //!< tokens that have entered an average engine's KV cache
   std::unordered_map<std::uint64_t, std::vector<Holder>> m_holders;
 };
 
--- a/src/fleet/queuelimit.h
+++ b/src/fleet/queuelimit.h
@@ -4,12 +4,13 @@
 
 namespace hemlockgauge::fleet {
 
-//! How many new connections may wait at a router to be accepted. Answers a
-//! flood at a router that is slower than the flood: callers whose connections
-//! are closed unread come back at once and use up its time, and a queue that
-//! is longer than callers can wait makes all of them late. What does not fit
-//! is dropped by the kernel, at no cost, and tried again later.
-//! aProcessorShare: of a core.
+//! Returns how many new connections may wait at a router to be accepted.
+//! aProcessorShare is the router's share of a processor core.
+//!
+//! Under overload, callers whose connections are closed unread reconnect at
+//! once and use up the router's time, and a queue longer than callers can wait
+//! makes all of them late. The kernel drops connections beyond the limit at no
+//! cost to the router, and callers retry them later.
 std::size_t
 QueueLimit(double aProcessorShare);
 
--- a/src/fleet/readingqueue.h
+++ b/src/fleet/readingqueue.h
@@ -6,39 +6,42 @@
 
 namespace hemlockgauge::fleet {
 
-//! The prompts that an engine still reads for this router, and how much of
-//! them is left. Answers the load "prompts of tens of thousands of tokens
-//! among short ones": counted whole until its first token came, a prompt
-//! that is nearly read made its engine look twice as busy as it was (foreseen
-//! 421 ms where 210 came, medians of a day's long prompts in logs).
+//! The prompts from this router whose prefill at an engine is not finished,
+//! with an estimate of the tokens left. This matters for prompts of tens of
+//! thousands of tokens among short ones: if a prompt counts as a whole until
+//! its first token, an engine that has nearly finished it looks twice as busy
+//! as it is (median predicted latency of long prompts 421 ms, measured 210 ms).
 class ReadingQueue
 {
 public:
-  //! aAheadMs: until its reading begins; aReadMs: how long it takes then.
+  //! Adds a prompt of aTokens that was sent to the engine. aAheadMs: predicted
+  //! time until its prefill starts; aPrefillMs: predicted duration of the
+  //! prefill.
   void Sent(std::uint64_t aAttempt,
             double aTokens,
             double aAheadMs,
-            double aReadMs,
+            double aPrefillMs,
             TimePoint aNow);
-  //! Its first token came, or it has ended.
+  //! Removes a prompt whose first token arrived or whose attempt ended.
   void Done(std::uint64_t aAttempt);
-  //! Tokens that are not read yet. A prompt that should be read and is not
-  //! counts whole again: the engine is slower than was believed.
+  //! Estimated tokens whose prefill is not finished. A prompt that is overdue
+  //! counts as a whole again: the engine is slower than predicted.
   double Unread(TimePoint aNow) const;
 
 private:
-  struct Reading
+  struct Prefill
   {
     std::uint64_t attempt = 0;
     double tokens = 0;
-    double beginsAt = 0; //!< ms, as TimePoint counts
-    double readMs = 0;
-    double overdueAt = 0;
+    double startsAt = 0; //!< predicted start of prefill, in ms of TimePoint
+    double durationMs = 0;
+    double overdueAt = 0; //!< in ms of TimePoint
 
-    double Left(double aNow) const;
+    //! Estimated tokens left at aNow, in ms of TimePoint.
+    double TokensLeft(double aNow) const;
   };
 
-  std::vector<Reading> m_readings;
+  std::vector<Prefill> m_prefills;
 };
 
 }
--- a/src/fleet/readrate.h
+++ b/src/fleet/readrate.h
@@ -6,28 +6,30 @@
 
 namespace hemlockgauge::fleet {
 
-//! How fast an upstream reads prompts, learned from how long first tokens
-//! took against what had to be read before them. No page of the platform
-//! says it, upstreams differ, and some slow down.
+//! Learns the prefill rate of an upstream from the latency of first tokens and
+//! the number of tokens prefilled before them. The platform does not publish
+//! it, it differs between upstreams, and some upstreams slow down.
 class ReadRate
 {
 public:
-  double TokensPerMs() const { return m_rate; }
+  double TokensPerMs() const { return m_tokensPerMs; }
 
-  //! aTokens: own and foreign prompt tokens that were read meanwhile.
+  //! Adds a sample. aTokens: tokens prefilled up to a request's first token,
+  //! its own and those of other requests; aMillis: latency of that first token.
   void Learn(double aTokens, double aMillis)
   {
     if (aTokens < kReadSampleLeast) {
       return;
     }
-    const double reading = std::max(aMillis - kFirstTokenFixedMs, 1.0);
+    const double prefillMs = std::max(aMillis - kFirstTokenFixedMs, 1.0);
     const double sample =
-      std::clamp(aTokens / reading, kReadRateLeast, kReadRateMost);
-    m_rate = 1.0 / ((1.0 - kReadRateGain) / m_rate + kReadRateGain / sample);
+      std::clamp(aTokens / prefillMs, kReadRateLeast, kReadRateMost);
+    m_tokensPerMs =
+      1.0 / ((1.0 - kReadRateGain) / m_tokensPerMs + kReadRateGain / sample);
   }
 
 private:
-  double m_rate = kReadRatePrior;
+  double m_tokensPerMs = kReadRatePrior;
 };
 
 }
--- a/src/fleet/servicetime.h
+++ b/src/fleet/servicetime.h
@@ -6,33 +6,37 @@
 
 namespace hemlockgauge::fleet {
 
-//! How long a plain service takes for an answer, over all its upstreams.
+//! Exponential moving average of the time that a plain service takes for an
+//! answer, over all its upstreams.
 class ServiceTime
 {
 public:
+  //! The mean in ms, or kServicePriorMs before the first answer.
   double Millis() const { return m_millis; }
   void Learn(double aMillis)
   {
     m_millis =
-      m_known ? m_millis + kServiceGain * (aMillis - m_millis) : aMillis;
-    m_known = true;
+      m_hasSample ? m_millis + kServiceGain * (aMillis - m_millis) : aMillis;
+    m_hasSample = true;
   }
 
 private:
   double m_millis = kServicePriorMs;
-  bool m_known = false;
+  bool m_hasSample = false;
 };
 
-//! The same for one upstream. With few answers it is taken to be like its
-//! service: otherwise the first one that answered would get all the work.
+//! The average for one upstream of a plain service. While it has few answers,
+//! the service's average outweighs its own; otherwise the first upstream that
+//! answered would get all requests.
 class UpstreamTime
 {
 public:
+  //! The mean in ms, weighted with that of aService.
   double Millis(const ServiceTime& aService) const
   {
-    const double own = m_answers;
-    return (own * m_millis + kServiceWeight * aService.Millis()) /
-           (own + kServiceWeight);
+    const double answers = m_answers;
+    return (answers * m_millis + kServiceWeight * aService.Millis()) /
+           (answers + kServiceWeight);
   }
   void Learn(double aMillis)
   {
--- a/src/fleet/suitability.h
+++ b/src/fleet/suitability.h
@@ -14,16 +14,17 @@
 
 struct PlaceRequest;
 
-//! Whether an upstream may get a request, or what keeps it from that; the
-//! nearer to getting it, the later here.
+//! Whether an upstream may get a request, or why not. The reasons are ordered:
+//! later ones are closer to Fits, and the greatest value over all upstreams is
+//! the one that is reported.
 enum class Suitability : std::uint8_t
 {
-  Unlisted,    //!< not of the request's service
-  OtherRegion, //!< the request may not run there
-  Draining,
-  Evacuated, //!< its availability zone is
-  Cold,      //!< gets no more for now, see WarmUp
-  Tried,     //!< by the same request
+  Unlisted,    //!< not an upstream of the request's service
+  OtherRegion, //!< the request may not run in its region
+  Draining,    //!< takes no new requests
+  Evacuated,   //!< its availability zone is evacuated
+  Cold,        //!< at its request rate limit, see WarmUp
+  Tried,       //!< already tried for the same request
   Fits
 };
 inline constexpr auto kSuitabilityNames =
@@ -35,8 +36,8 @@
                                    "tried",
                                    "fits");
 
-//! Whether an upstream may be asked for what it holds. One that only the
-//! request at hand may not go to again still gives.
+//! Whether other upstreams may copy prefixes from this one. This includes one
+//! that gets no requests now because it is cold or was already tried.
 inline bool
 IsWorkable(Suitability aSuitability)
 {
@@ -45,15 +46,17 @@
          aSuitability == Suitability::Cold;
 }
 
-//! Whether the regions of the request's route and workspace allow a zone;
-//! where both name some, both bind. A zone of no known region is in none.
+//! Whether a request may run in a zone, by the allowed regions of its route and
+//! of its workspace. If both are restricted, both must allow the zone's region.
+//! A zone without a known region is allowed only for unrestricted requests.
 bool
 MayRunIn(const std::map<std::string, std::string>& aRegionOfZone,
          const std::string& aZone,
          const PlaceRequest& aRequest);
 
-//! When a request should come back for which there is no upstream.
-//! aUntilWarm: until the first cold one is warm.
+//! Returns when a request that found no upstream should be retried.
+//! aSuitability: the greatest over all upstreams; aUntilWarm: time until the
+//! first cold upstream is warm.
 Duration
 RetryAfterFor(Suitability aSuitability, Duration aUntilWarm);
 
--- a/src/fleet/upstreamhealth.h
+++ b/src/fleet/upstreamhealth.h
@@ -4,31 +4,33 @@
 
 namespace hemlockgauge::fleet {
 
-//! Judges one upstream by what callers got from it. Not by health pages:
-//! those can say either without being true.
+//! Tracks the health of one upstream by the outcome of real requests. Health
+//! check pages are not used, as they can report both states wrongly.
 class UpstreamHealth
 {
 public:
+  //! Records a successful answer and ends a series of failures.
   void Succeeded(TimePoint aNow);
-  //! An answer that says failure although the upstream is there: counts
-  //! towards the part of failures only.
+  //! Records an answer with an error status. The upstream is reachable, so this
+  //! counts towards the failure ratio only, not towards ejection.
   void AnsweredFailure(TimePoint aNow);
-  //! Broken, silent, not to be reached. Returns true if this one takes it
-  //! out for a while; aMayEject: its service can spare one more.
+  //! Records an attempt that broke off, timed out or could not connect. Returns
+  //! true if this ejects the upstream for a while. aMayEject: whether its
+  //! service may have one more ejected upstream.
   bool Failed(TimePoint aNow, bool aMayEject);
-  //! Whether requests may go there, but for a single one as a trial after
-  //! each ejection.
+  //! Whether the upstream is ejected, so that no requests should be sent there.
   bool IsEjected(TimePoint aNow) const { return aNow < m_ejectedUntil; }
-  //! Part of its last answers that failed, 0 to 1. It fades, or one that gets
-  //! no requests for its failures would never get one again.
+  //! Weighted ratio of failures among the recent answers, from 0 to 1. It
+  //! decays over time; otherwise an upstream that gets no requests because of
+  //! its failures would never get one again.
   double FailurePart(TimePoint aNow) const;
 
 private:
-  void Count(double aFailure, TimePoint aNow);
+  void UpdateRatio(double aFailure, TimePoint aNow);
 
-  double m_failurePart = 0;
-  TimePoint m_countedAt{};
-  int m_inRow = 0;
+  double m_failureRatio = 0;
+  TimePoint m_updatedAt{};
+  int m_consecutiveFailures = 0;
   Duration m_ejection{};
   TimePoint m_ejectedUntil{};
 };
--- a/src/fleet/warmup.h
+++ b/src/fleet/warmup.h
@@ -12,43 +12,47 @@
 using base::TimePoint;
 using base::UpstreamId;
 
-//! How many requests a cold upstream may get in any second from all routers
-//! together: its own rate times overrun, plus slack.
+//! The limit for requests to a cold upstream within any second, from all
+//! routers together: the rate that the upstream allows times overrun, plus
+//! slack.
 struct ColdLimit
 {
   double overrun = 1;
   double slack = 0;
 };
 
-//! The routers among which cold upstreams are shared out.
+//! The routers among which the cold upstreams are divided.
 struct RouterSet
 {
-  std::uint32_t self = 0;             //!< hash of this router's address
-  std::vector<std::uint32_t> routers; //!< hashes of all known, self too
-  //! Whether the set is complete enough to be the same at the other routers.
+  std::uint32_t self = 0; //!< hash of this router's address
+  std::vector<std::uint32_t>
+    routers; //!< hashes of all known routers, incl. self
+  //! Whether the set is likely to be complete and the same at other routers.
   bool isSettled = false;
 
   bool operator==(const RouterSet&) const = default;
 };
 
-//! What this router may send to upstreams that are cold. Each has one owner
-//! among the routers, by rendezvous hashing, which sends to it at a fixed rate
-//! without asking the others; the rest send nothing there.
+//! Limits the requests of this router to cold upstreams. Rendezvous hashing
+//! assigns each upstream one owner among the routers, which sends to it at a
+//! fixed rate without coordination; the other routers send nothing there.
 //!
-//! The rate is half of the limit: while views of the routers differ, two of
-//! them may take themselves for the owner.
+//! The rate is half of the limit, because two routers may regard themselves as
+//! the owner while their sets of routers differ.
 class WarmUp
 {
 public:
   void Configure(const ColdLimit& aLimit) { m_limit = aLimit; }
   void SetRouters(const RouterSet& aRouters);
 
-  //! aPerSecond: what the upstream bears while it is cold.
+  //! Whether this router may send a request now. aPerSecond: requests per
+  //! second that the upstream allows while it is cold.
   bool MaySend(UpstreamId aUpstream, double aPerSecond, TimePoint aNow) const;
+  //! Records a request that was sent.
   void Sent(UpstreamId aUpstream, TimePoint aNow);
-  //! Requests a second that this router may send there.
+  //! Requests per second that this router may send; 0 if it is not the owner.
   double RateFor(UpstreamId aUpstream, double aPerSecond) const;
-  //! Drops what is no longer of use.
+  //! Drops send times that no longer affect MaySend.
   void Forget(TimePoint aNow);
 
 private:
@@ -56,8 +60,8 @@
 
   ColdLimit m_limit;
   RouterSet m_routers;
-  std::map<UpstreamId, TimePoint> m_sentAt; //!< the last one
-  mutable std::map<UpstreamId, bool> m_isOwner;
+  std::map<UpstreamId, TimePoint> m_sentAt;     //!< time of the last request
+  mutable std::map<UpstreamId, bool> m_isOwner; //!< cache for m_routers
 };
 
 }
