--- a/src/fleet/admission.h
+++ b/src/fleet/admission.h
@@ -11,16 +11,16 @@
 {
   double foreseenMs = 0; //!< time to its first token or its answer
   double ownMs = 0;      //!< part of foreseenMs: prefill of its unshared tokens
-  double unseenMs = 0;   //!< mean wait from unreported load, see UnseenLoad
-  Duration waited{};     //!< since the request arrived
-  Duration target{};     //!< its route's target latency, from arrival
-  Duration timeLeft{};   //!< until its deadline or the route's timeout
+  double unseenMs = 0; //!< mean wait from load not reported yet, see UnseenLoad
+  Duration waited{};   //!< since the request arrived
+  Duration target{};   //!< its route's target latency, from arrival
+  Duration timeLeft{}; //!< until its deadline or the route's timeout
   bool insideShare = true; //!< its workspace is within its fair share
   //! The workspace is above its share of what the engines can process, but
-  //! within its share of what is promised to all workspaces together.
+  //! within its share of the nominal capacity, FleetConfig::tokensPerSecond.
   bool insidePromise = false;
-  //! The workspace gets far less than half of what it asks for and of what the
-  //! best served workspace gets.
+  //! Others wait, and the workspace gets less than the fraction kStarved of
+  //! what it asks for and of what the best served workspace gets.
   bool starved = false;
   //! The workspace's current rate divided by the highest rate of any workspace
   //! if the load served now were split by max-min fair share. Above 1, the
@@ -42,12 +42,14 @@
 };
 
 //! Whether an overloaded router sheds a request without evaluating upstreams.
-//! When requests arrive faster than the router can read them, they wait in its
-//! receive buffers for up to aRouterBusy, the time for which its event loop has
-//! not been idle. A request beyond its workspace's promise is shed if that
-//! wait alone uses too much of aTarget, the route's target latency.
+//! When requests arrive faster than the router can read them, they wait unread
+//! for up to aRouterBusy, the time for which the router's event loop has not
+//! been idle. A request beyond its workspace's nominal share is shed if that
+//! wait alone takes too much of aTarget, the route's target latency.
 bool
-ShedsWhileBusy(bool aInsidePromise, Duration aRouterBusy, Duration aTarget);
+ShedsWhileBusy(bool aInsideNominalShare,
+               Duration aRouterBusy,
+               Duration aTarget);
 
 //! Admits a request if its predicted latency is within a fraction of its target
 //! latency, and refuses it with a retry time otherwise. Engines process
@@ -58,10 +60,10 @@
 //! Requests beyond their workspace's share have the smallest fraction, so a
 //! flooding workspace delays only itself. Among these, the fraction shrinks the
 //! further a workspace is ahead of others, so that several flooding workspaces
-//! are served alike. Where more is promised than the engines can process,
-//! requests within the promise only are refused slightly earlier than those
-//! within the share, which leaves room for the latter. Requests of a starved
-//! workspace may exceed the target: a late answer is better than none.
+//! are served alike. If the nominal capacity exceeds what the engines can
+//! process, requests within the nominal share only are refused slightly earlier
+//! than those within the share, which leaves room for the latter. Requests of a
+//! starved workspace may exceed the target: a late answer is better than none.
 Admission
 Admit(const AdmissionInput& aInput);
 
--- a/src/fleet/internal/admission.cpp
+++ b/src/fleet/internal/admission.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 bool
-IsBeyondPromise(const AdmissionInput& aInput)
+IsBeyondNominalShare(const AdmissionInput& aInput)
 {
   return !aInput.insideShare && !aInput.insidePromise;
 }
@@ -44,7 +44,7 @@
 double
 MaxLatencyMs(const AdmissionInput& aInput, double aLimitMs)
 {
-  return IsBeyondPromise(aInput)
+  return IsBeyondNominalShare(aInput)
            ? aLimitMs + aInput.ownMs
            : std::max(aLimitMs, kOwnReading * aInput.ownMs);
 }
@@ -66,17 +66,17 @@
 }
 
 bool
-ShedsWhileBusy(bool aInsidePromise, Duration aRouterBusy, Duration aTarget)
+ShedsWhileBusy(bool aInsideNominalShare, Duration aRouterBusy, Duration aTarget)
 {
   const auto busy = static_cast<double>(aRouterBusy.count());
-  return !aInsidePromise &&
+  return !aInsideNominalShare &&
          busy > kOutsideShareLimit * static_cast<double>(aTarget.count());
 }
 
 Admission
 Admit(const AdmissionInput& aInput)
 {
-  if (IsBeyondPromise(aInput) && !aInput.passesLevel && !aInput.idle) {
+  if (IsBeyondNominalShare(aInput) && !aInput.passesLevel && !aInput.idle) {
     return Refuse(aInput, kLevelWait);
   }
   if (!aInput.passesCallLevel && !aInput.idle) {
@@ -87,7 +87,7 @@
   const auto waited = static_cast<double>(aInput.waited.count());
   const double limit = MaxLatencyMs(aInput, ratio * target) + aInput.unseenMs;
   const bool ahead =
-    IsBeyondPromise(aInput) && aInput.othersWait && aInput.excess > 1.0;
+    IsBeyondNominalShare(aInput) && aInput.othersWait && aInput.excess > 1.0;
   if (aInput.foreseenMs + waited <= limit || (aInput.placesFree && !ahead)) {
     return {};
   }
--- a/src/fleet/internal/loadspread.cpp
+++ b/src/fleet/internal/loadspread.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-//! The common cost, in ms, that options reach once the unreported work has been
+//! The common cost, in ms, that options reach once the unseen load has been
 //! added to the cheapest ones.
 double
-WaterFillLevel(const std::vector<SpreadOption>& aOptions, double aUnreportedMs)
+WaterFillLevel(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
 {
   std::vector<const SpreadOption*> order;
   double totalSpeed = 0;
@@ -22,7 +22,7 @@
     order.begin(), order.end(), [](const auto* aFirst, const auto* aOther) {
       return aFirst->costMs < aOther->costMs;
     });
-  const double work = aUnreportedMs * totalSpeed;
+  const double work = aUnseenMs * totalSpeed;
   double level = order.front()->costMs;
   double filled = 0; //!< work that raises the options so far to the level
   double speed = 0;  //!< sum over the options so far
@@ -41,9 +41,9 @@
 }
 
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnreportedMs)
+SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
 {
-  const double level = WaterFillLevel(aOptions, aUnreportedMs);
+  const double level = WaterFillLevel(aOptions, aUnseenMs);
   std::vector<double> weights;
   weights.reserve(aOptions.size());
   double sum = 0;
--- a/src/fleet/internal/placement.cpp
+++ b/src/fleet/internal/placement.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+//! Folds aKey to 32 bits and hashes it together with the upstream.
 std::uint64_t
 RankHash(std::uint64_t aKey, UpstreamId aUpstream)
 {
@@ -36,11 +37,11 @@
 }
 
 //! The cost in ms of sending a request to an upstream, besides the predicted
-//! wait and the rank's cost.
+//! wait and the rank's penalty.
 double
-PlacementCostMs(const Candidate& aCandidate, double aRepeatedPrefillWeight)
+PlacementCostMs(const Candidate& aCandidate, double aPrefillCostWeight)
 {
-  const double repeatedPrefillMs =
+  const double prefillMs =
     aCandidate.isEngine ? aCandidate.missingTokens / aCandidate.readRate : 0.0;
   //! NOTE some plain upstreams slow down as they fill up, so one with fewer
   //! requests is preferred even if both have free slots.
@@ -50,15 +51,15 @@
       : aCandidate.serviceMs * std::min(aCandidate.running, aCandidate.slots) /
           std::max(aCandidate.slots, 1U);
   return occupancyMs + aCandidate.failurePart * kFailureMs +
-         aRepeatedPrefillWeight * repeatedPrefillMs +
+         aPrefillCostWeight * prefillMs +
          (aCandidate.sameZone ? 0.0 : kOtherZoneMs);
 }
 
-//! The rank's cost, in ms, for a plain service. Requests to it have no prefix,
-//! so ranks differ between requests; this cost spreads them where the learned
+//! The rank's penalty in ms for a plain service. Its requests have no prefix,
+//! so ranks differ between requests; the penalty spreads them where the learned
 //! service times differ only slightly.
 double
-PlainRankCostMs(const Candidate& aCandidate, int aRank)
+PlainRankPenaltyMs(const Candidate& aCandidate, int aRank)
 {
   return kSpreadPart * aCandidate.serviceMs * std::min(aRank, kMostRanks);
 }
@@ -73,27 +74,27 @@
            : aCandidate.slots / std::max(aCandidate.serviceMs, 1.0);
 }
 
-//! The weight of repeated prefill time in the cost of an engine.
-struct RepeatedPrefillWeight
+//! The weight of the request's prefill time in the cost of an engine.
+struct PrefillCostWeight
 {
   double operator()(const PrefixAffinity&) const { return kRereadWeight; }
   double operator()(const LeastWait&) const { return 0.0; }
-  double operator()(const SampledWait&) const { return 0.0; }
+  double operator()(const SampledLeastWait&) const { return 0.0; }
 };
 
 //! How many of the ranked engines each policy considers.
-struct MaxRanks
+struct CandidateLimit
 {
   std::size_t operator()(const PrefixAffinity&) const { return kPrefixReach; }
   std::size_t operator()(const LeastWait&) const
   {
     return std::numeric_limits<std::size_t>::max();
   }
-  std::size_t operator()(const SampledWait&) const { return kSampleSize; }
+  std::size_t operator()(const SampledLeastWait&) const { return kSampleSize; }
 };
 
-//! The rank's cost of an engine, in ms.
-struct RankCost
+//! The rank's penalty in ms for an engine.
+struct RankPenalty
 {
   int rank;
 
@@ -103,7 +104,7 @@
   }
   //! Only breaks ties, so that routers do not all choose the same engine.
   double operator()(const LeastWait&) const { return 0.001 * rank; }
-  double operator()(const SampledWait&) const { return 0.001 * rank; }
+  double operator()(const SampledLeastWait&) const { return 0.001 * rank; }
 };
 
 }
@@ -141,21 +142,21 @@
 PlacementPolicy
 Spread()
 {
-  return SampledWait{};
+  return SampledLeastWait{};
 }
 
 std::size_t
 ReachOf(const PlacementPolicy& aPolicy)
 {
-  return std::visit(MaxRanks{}, aPolicy);
+  return std::visit(CandidateLimit{}, aPolicy);
 }
 
 void
 KeepNearest(std::vector<UpstreamId>& aUpstreams,
             std::uint64_t aKey,
-            std::size_t aReach)
+            std::size_t aCount)
 {
-  if (aUpstreams.size() <= aReach) {
+  if (aUpstreams.size() <= aCount) {
     return;
   }
   std::vector<std::pair<std::uint64_t, UpstreamId>> order;
@@ -164,10 +165,10 @@
     order.emplace_back(RankHash(aKey, id), id);
   }
   std::nth_element(order.begin(),
-                   order.begin() + static_cast<std::ptrdiff_t>(aReach),
+                   order.begin() + static_cast<std::ptrdiff_t>(aCount),
                    order.end());
   aUpstreams.clear();
-  for (std::size_t i = 0; i < aReach; ++i) {
+  for (std::size_t i = 0; i < aCount; ++i) {
     aUpstreams.push_back(order[i].second);
   }
 }
@@ -176,28 +177,26 @@
 Place(const PlacementPolicy& aPolicy,
       const std::vector<Candidate>& aCandidates,
       std::uint64_t aKey,
-      const UnseenLoad& aUnreported)
+      const UnseenLoad& aUnseen)
 {
   if (aCandidates.empty()) {
     return std::nullopt;
   }
   const auto ranks = RanksOf(aCandidates, aKey);
-  const double repeatedPrefillWeight =
-    std::visit(RepeatedPrefillWeight{}, aPolicy);
+  const double prefillCostWeight = std::visit(PrefillCostWeight{}, aPolicy);
   std::vector<SpreadOption> options;
   options.reserve(aCandidates.size());
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
-    const double rankCost = candidate.isEngine
-                              ? std::visit(RankCost{ ranks[i] }, aPolicy)
-                              : PlainRankCostMs(candidate, ranks[i]);
+    const double rankPenalty = candidate.isEngine
+                                 ? std::visit(RankPenalty{ ranks[i] }, aPolicy)
+                                 : PlainRankPenaltyMs(candidate, ranks[i]);
     options.push_back({ candidate.ForeseenMs() +
-                          PlacementCostMs(candidate, repeatedPrefillWeight) +
-                          rankCost,
+                          PlacementCostMs(candidate, prefillCostWeight) +
+                          rankPenalty,
                         Throughput(candidate) });
   }
-  const auto best =
-    DrawByParts(SpreadParts(options, aUnreported.ms), aUnreported.draw);
+  const auto best = DrawByParts(SpreadParts(options, aUnseen.ms), aUnseen.draw);
   return Placed{ best, aCandidates[best].ForeseenMs(), ranks[best] };
 }
 
--- a/src/fleet/internal/prefixcopy.cpp
+++ b/src/fleet/internal/prefixcopy.cpp
@@ -14,7 +14,7 @@
 }
 
 double
-CopyMillis(const Service& aService, double aTokens)
+CopyDurationMs(const Service& aService, double aTokens)
 {
   const double bits = aTokens * aService.bytesPerToken * kBitsPerByte;
   return kCopySetupMs + bits / (aService.copyMbps * kBitsPerMsPerMbps);
@@ -52,11 +52,11 @@
   if (tokens <= 0) {
     return PrefixCopy{ best->upstream, 0, 0 };
   }
-  const double millis = CopyMillis(aService, tokens);
-  if (millis > kCopyWorth * tokens / aReader.tokensPerMs) {
+  const double durationMs = CopyDurationMs(aService, tokens);
+  if (durationMs > kCopyWorth * tokens / aReader.tokensPerMs) {
     return std::nullopt;
   }
-  return PrefixCopy{ best->upstream, tokens, millis };
+  return PrefixCopy{ best->upstream, tokens, durationMs };
 }
 
 }
--- a/src/fleet/internal/warmup.cpp
+++ b/src/fleet/internal/warmup.cpp
@@ -50,7 +50,7 @@
 }
 
 double
-WarmUp::RateFor(UpstreamId aUpstream, double aPerSecond) const
+WarmUp::RatePerSecond(UpstreamId aUpstream, double aPerSecond) const
 {
   if (!IsOwner(aUpstream)) {
     return 0;
@@ -64,7 +64,7 @@
 bool
 WarmUp::MaySend(UpstreamId aUpstream, double aPerSecond, TimePoint aNow) const
 {
-  const double rate = RateFor(aUpstream, aPerSecond);
+  const double rate = RatePerSecond(aUpstream, aPerSecond);
   if (rate <= 0) {
     return false;
   }
--- a/src/fleet/loadspread.h
+++ b/src/fleet/loadspread.h
@@ -24,13 +24,13 @@
 };
 
 //! Returns the fraction of requests that each option should get, so that the
-//! costs are equal once the unreported work of aUnreportedMs has been added
+//! costs are equal once the unseen load of aUnseenMs has been added
 //! (water filling). If all routers sent to the option that was best in the last
 //! load reports, it would get the work of all of them until the next reports.
-//! Without unreported work, the cheapest option gets everything. aOptions must
+//! Without unseen load, the cheapest option gets everything. aOptions must
 //! not be empty.
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnreportedMs);
+SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs);
 
 //! Returns the index of the option that aDraw selects at random. aWeights must
 //! not be empty and must sum to 1; aDraw is uniform over all its values.
--- a/src/fleet/memoryuse.h
+++ b/src/fleet/memoryuse.h
@@ -29,7 +29,7 @@
   double FilledPerRead() const
   {
     return m_prefilled > 0
-             ? std::clamp(m_filled / m_prefilled, 1.0, kMaxFilledPerRead)
+             ? std::clamp(m_filled / m_prefilled, 1.0, kMaxFilledPerPrefill)
              : 1.0;
   }
   //! Mean number of unshared tokens of a running request.
@@ -45,7 +45,7 @@
   static constexpr double kMeanOutputRatio = 0.5;
   //! Bounds the ratio where nearly all prompts are copied: the few prefilled
   //! tokens are then no usable denominator.
-  static constexpr double kMaxFilledPerRead = 4.0;
+  static constexpr double kMaxFilledPerPrefill = 4.0;
 
   static void UpdateMean(double& aMean, double aSample)
   {
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -36,7 +36,7 @@
 
 //! Places requests by their shared prefix. Rendezvous hashing of the prefix
 //! ranks the upstreams alike at all routers without communication; a lower
-//! ranked upstream is used once it is sooner by more than the rank's cost.
+//! ranked upstream is used once it is sooner by more than the rank's penalty.
 //! For loads of few long prefixes and many requests, each prefix is prefilled
 //! once and then found in the KV cache. Only the first kPrefixReach ranks are
 //! considered: load reports are a few hundred ms old, so if all routers looked
@@ -52,10 +52,11 @@
 //! The shortest predicted wait among kSampleSize engines that are sampled by
 //! the request's key, so that routers with the same outdated load reports
 //! choose different engines.
-struct SampledWait
+struct SampledLeastWait
 {};
 
-using PlacementPolicy = std::variant<PrefixAffinity, LeastWait, SampledWait>;
+using PlacementPolicy =
+  std::variant<PrefixAffinity, LeastWait, SampledLeastWait>;
 
 enum class PlacementKind : std::uint8_t
 {
@@ -78,11 +79,11 @@
 std::size_t
 ReachOf(const PlacementPolicy& aPolicy);
 
-//! Keeps the aReach highest ranked upstreams for aKey, in unspecified order.
+//! Keeps the aCount highest ranked upstreams for aKey, in unspecified order.
 void
 KeepNearest(std::vector<UpstreamId>& aUpstreams,
             std::uint64_t aKey,
-            std::size_t aReach);
+            std::size_t aCount);
 
 //! The chosen upstream.
 struct Placed
@@ -100,6 +101,6 @@
 Place(const PlacementPolicy& aPolicy,
       const std::vector<Candidate>& aCandidates,
       std::uint64_t aKey,
-      const UnseenLoad& aUnreported = {});
+      const UnseenLoad& aUnseen = {});
 
 }
--- a/src/fleet/prefixcopy.h
+++ b/src/fleet/prefixcopy.h
@@ -37,7 +37,7 @@
 
 //! Time in ms that aService's engines take to copy the KV cache of aTokens.
 double
-CopyMillis(const Service& aService, double aTokens);
+CopyDurationMs(const Service& aService, double aTokens);
 
 //! Chooses the engine from which aReader copies the leading parts of a prompt.
 //! Without copies, a prefix that one engine holds is prefilled again at each
--- a/src/fleet/prefixmap.h
+++ b/src/fleet/prefixmap.h
@@ -47,8 +47,8 @@
   }
 
   double m_retainedTokens = kPrefixKeptUnsaid;
-  double m_enteredTokens =
-    0; //!< tokens that have entered an average engine's KV cache
+  //! Tokens that have entered the KV cache of an average engine.
+  double m_enteredTokens = 0;
   std::unordered_map<std::uint64_t, std::vector<Holder>> m_holders;
 };
 
--- a/src/fleet/retrypolicy.h
+++ b/src/fleet/retrypolicy.h
@@ -12,11 +12,12 @@
 struct FailedAttempt
 {
   CallKind kind = CallKind::AtMostOnce;
-  bool mayRunAgain = false;      //!< may be executed more than once
-  bool answerBegun = false;      //!< the caller received part of an answer
-  std::uint32_t attemptsRun = 0; //!< attempts that may have run, incl. this one
-  std::uint32_t attemptsNotRun =
-    0;                           //!< attempts that did not run, incl. this one
+  bool mayRunAgain = false; //!< may be executed more than once
+  bool answerBegun = false; //!< the caller received part of an answer
+  //! Attempts so far that may have run, including this one.
+  std::uint32_t attemptsRun = 0;
+  //! Attempts so far that certainly did not run, including this one.
+  std::uint32_t attemptsNotRun = 0;
   std::uint32_t maxAttempts = 1; //!< limit of the route for attemptsRun
   Duration timeLeft{};           //!< until the request's deadline
   //! No attempt was connected, so no upstream received the request.
--- a/src/fleet/suitability.h
+++ b/src/fleet/suitability.h
@@ -15,15 +15,15 @@
 struct PlaceRequest;
 
 //! Whether an upstream may get a request, or why not. The reasons are ordered:
-//! later ones are closer to Fits, and the greatest value over all upstreams is
-//! the one that is reported.
+//! later ones are closer to Fits. If no upstream fits, the greatest value over
+//! all upstreams is reported.
 enum class Suitability : std::uint8_t
 {
   Unlisted,    //!< not an upstream of the request's service
   OtherRegion, //!< the request may not run in its region
   Draining,    //!< takes no new requests
   Evacuated,   //!< its availability zone is evacuated
-  Cold,        //!< at its request rate limit, see WarmUp
+  Cold,        //!< gets no request from this router now, see WarmUp
   Tried,       //!< already tried for the same request
   Fits
 };
--- a/src/fleet/upstreamhealth.h
+++ b/src/fleet/upstreamhealth.h
@@ -18,7 +18,8 @@
   //! true if this ejects the upstream for a while. aMayEject: whether its
   //! service may have one more ejected upstream.
   bool Failed(TimePoint aNow, bool aMayEject);
-  //! Whether the upstream is ejected, so that no requests should be sent there.
+  //! Whether the upstream is ejected: requests go there only if no upstream of
+  //! its service is not ejected.
   bool IsEjected(TimePoint aNow) const { return aNow < m_ejectedUntil; }
   //! Weighted ratio of failures among the recent answers, from 0 to 1. It
   //! decays over time; otherwise an upstream that gets no requests because of
--- a/src/fleet/warmup.h
+++ b/src/fleet/warmup.h
@@ -25,8 +25,8 @@
 struct RouterSet
 {
   std::uint32_t self = 0; //!< hash of this router's address
-  std::vector<std::uint32_t>
-    routers; //!< hashes of all known routers, incl. self
+  //! Hashes of the addresses of all known routers, including this one.
+  std::vector<std::uint32_t> routers;
   //! Whether the set is likely to be complete and the same at other routers.
   bool isSettled = false;
 
@@ -51,7 +51,7 @@
   //! Records a request that was sent.
   void Sent(UpstreamId aUpstream, TimePoint aNow);
   //! Requests per second that this router may send; 0 if it is not the owner.
-  double RateFor(UpstreamId aUpstream, double aPerSecond) const;
+  double RatePerSecond(UpstreamId aUpstream, double aPerSecond) const;
   //! Drops send times that no longer affect MaySend.
   void Forget(TimePoint aNow);
 
