--- a/src/fleet/exchangeclock.h
+++ b/src/fleet/exchangeclock.h
@@ -9,14 +9,15 @@
 
 namespace hemlockgauge::fleet {
 
-//! What routers tell each other, in the order in which news travels: from a
-//! router to its hubs, between a zone's hubs, between zones, and back.
+//! Reports that routers exchange in each period, in the order in which they are
+//! sent: from a router to the hubs of its group, between the hubs of a zone,
+//! between zones, and back to all routers.
 enum class ExchangeStage : std::uint8_t
 {
-  Own,       //!< each router's own report
-  GroupSums, //!< of a group, to the zone's other hubs
-  ZoneSums,  //!< of an availability zone, to the other zones
-  FleetSums  //!< of all, to the routers of a group
+  Own,       //!< each router's own report, to the hubs of its group
+  GroupSums, //!< sum of a group, to the hubs of the zone's other groups
+  ZoneSums,  //!< sum of an availability zone, to the other zones
+  FleetSums  //!< sum of the fleet, from a hub to its group
 };
 inline constexpr auto kExchangeStageNames =
   base::MakeEnumNames<ExchangeStage>("own",
@@ -24,17 +25,19 @@
                                      "zone-sums",
                                      "fleet-sums");
 
-//! Says when each stage is due, by the time of day: all routers take the stages
-//! of a period at the same time, one after another, so that news waits nowhere.
-//! Loads are 92 ms old where a request is placed (median, 18 routers; 59 and
-//! 128 in a tenth and nine tenths). If each router told at a time of its own,
-//! news would wait half a period at each hop; so it is where clocks differ:
-//! nothing but the age of news depends on them.
+//! Determines from the wall clock which exchange stages are due. All routers
+//! run the same stage at the same time and the stages follow each other
+//! directly, so that no hop delays a report. The loads that placement uses are
+//! then 92 ms old (median of 18 routers; 10th percentile 59, 90th 128). Routers
+//! that send at unrelated times, as those with differing clocks do, delay
+//! reports by half a period per hop. Only the age of the loads depends on
+//! synchronised clocks.
 class ExchangeClock
 {
 public:
-  //! The stages that have come since the last call, in their order; each at
-  //! most once. aTimeOfDay: since any fixed day.
+  //! Returns the stages that became due since the previous call, in order and
+  //! each at most once. aTimeOfDay is the time since midnight of any day.
+  //! After a step back of the clock, only the stage of the new time is due.
   std::vector<ExchangeStage> Due(base::Duration aTimeOfDay);
 
 private:
--- a/src/fleet/exchangeplan.h
+++ b/src/fleet/exchangeplan.h
@@ -8,73 +8,84 @@
 
 namespace hemlockgauge::fleet {
 
-//! A router of the fleet as a plan sees it.
+//! Input of the exchange plan about one router.
 struct FleetMember
 {
   base::Address address;
   std::uint32_t zone = 0; //!< hash of its availability zone's name
-  std::uint32_t hash = 0; //!< of its address: its rank by all views
+  std::uint32_t hash = 0; //!< hash of the address; all routers sort by it
 };
 
-//! Who tells whom in this period, and who reads the platform's store.
+//! The routers that this router exchanges reports with, its role in this
+//! exchange, and the routers that read the platform's store.
 struct ExchangePlan
 {
-  bool isHub = true; //!< this router sums up its group for the others
+  bool isHub = true; //!< sums up the reports of its group for others
   std::uint64_t group = 0;
-  //! All hubs of this router's group by rank, itself too if it is one.
+  //! All hubs of this router's group by rank, including this router if it is
+  //! one. Empty in a small fleet.
   std::vector<base::Address> groupHubs;
-  std::size_t hubRank = 0; //!< this router's place among them, if it is one
-  std::vector<base::Address> tell;      //!< get this router's own report
-  std::vector<base::Address> hubs;      //!< of the zone's other groups: get the
-                                        //!< group sum
-  std::vector<base::Address> followers; //!< of our group: get the fleet sum
-  //! All hubs of this zone but this one: get what other zones tell it.
+  std::size_t hubRank = 0; //!< index of this router in groupHubs, if a hub
+  //! Routers that this router sends its own report to.
+  std::vector<base::Address> tell;
+  //! Hubs of the zone's other groups. They get the sum of this hub's group.
+  std::vector<base::Address> hubs;
+  //! The other routers of this hub's group. They get the fleet sum.
+  std::vector<base::Address> followers;
+  //! All other hubs of the zone. This router forwards them the sums that it
+  //! gets from other zones.
   std::vector<base::Address> relays;
-  //! For each other zone the hubs that its sums may be sent to. Empty unless
-  //! this router speaks for its zone.
+  //! For each other zone, the hubs that accept zone sums. Empty unless this
+  //! router represents its zone.
   std::vector<std::vector<base::Address>> otherZones;
-  std::uint64_t speakers = 0; //!< of this zone
-  std::uint64_t speaker = 0;  //!< which of them this router is, if it speaks
-  //! The first routers in the order in which the store is read; the same by
-  //! all views, and of different availability zones where there are some.
+  std::uint64_t speakers = 0; //!< number of representatives of this zone
+  std::uint64_t speaker = 0;  //!< index of this router among them, if it is one
+  //! The first kStoreReaders routers in the order of readRank. All routers
+  //! compute the same list; it spans availability zones where there are
+  //! several.
   std::vector<base::Address> readers;
-  std::size_t readRank = 0; //!< this router's place in that order
+  //! Position of this router in the order in which routers turn to the store.
+  std::size_t readRank = 0;
 
-  //! Among whom cold upstreams are shared out.
+  //! The routers that cold upstreams are distributed over.
   RouterSet routers;
 
-  //! Whether reports come through hubs; in a small fleet they come directly.
+  //! Whether reports travel through hubs. In a small fleet, all routers send
+  //! them to each other directly.
   bool IsLarge() const { return !groupHubs.empty(); }
-  //! Whether this router sums up for others; in a small fleet none does.
+  //! Whether this router sends sums to others. In a small fleet, none does.
   bool SumsUp() const { return isHub && IsLarge(); }
-  //! Whether this hub tells its group the sum of all in that period: a group's
-  //! hubs take turns, so each router gets one sum a period, and one in two
-  //! where a hub was lost.
+  //! Whether this hub sends the fleet sum to its group in period aPeriod. The
+  //! hubs of a group take turns: each router gets one sum per period, or one
+  //! in two periods after a hub was lost.
   bool TellsFollowers(std::uint64_t aPeriod) const
   {
     return groupHubs.empty() || aPeriod % groupHubs.size() == hubRank;
   }
-  //! Whether it tells other zones with its report of that number: a zone's
-  //! speakers take turns, so that one may be lost and half of the news remains.
+  //! Whether this router sends the zone sum to other zones along with its
+  //! report number aSequence. The representatives of a zone take turns; if one
+  //! is lost, half of the zone sums still arrive.
   bool Speaks(std::uint64_t aSequence) const
   {
     return !otherZones.empty() && aSequence % speakers == speaker;
   }
-  //! Where the zone sum goes then: to one hub of each other zone, a different
-  //! one each time.
+  //! Returns the receivers of that zone sum: one hub of each other zone, in
+  //! rotation.
   std::vector<base::Address> ZoneContacts(std::uint64_t aSequence) const;
 };
 
-//! aOthers: all routers that are alive, without aSelf.
+//! Computes the plan of aSelf. aOthers holds all other routers that are alive.
 //!
-//! Up to kMeshMost routers tell each other directly. Beyond, routers of one
-//! availability zone form groups; two hubs of each group, the same by all
-//! views, sum up and pass on. The hubs of a zone tell each other their groups'
-//! sums; two of them speak for the zone to the others, whose hubs pass it on
-//! among themselves. A router then sends and gets a few datagrams a period
-//! whatever the fleet's size, a hub a few dozen, and what crosses zones grows
-//! with the zones alone: hubs that all told each other sent two thirds of all
-//! bytes between zones (0.67 of 0.96 GB in 50 s, 295 routers).
+//! Up to kMeshMost routers form a full mesh. In a larger fleet, the routers of
+//! each availability zone are split into groups, and two hubs per group, which
+//! all routers determine alike, sum up reports and pass them on. The hubs of a
+//! zone exchange their group sums. Two of them represent the zone: they send
+//! its sum to the other zones, whose hubs forward it among themselves.
+//!
+//! Per period, a router then sends and receives a few datagrams whatever the
+//! fleet's size, and a hub a few dozen. Traffic between zones grows only with
+//! the number of zones. A full mesh of all hubs sent two thirds of all bytes
+//! between zones (0.67 of 0.96 GB in 50 s with 295 routers).
 ExchangePlan
 MakeExchangePlan(const FleetMember& aSelf,
                  const std::vector<FleetMember>& aOthers);
--- a/src/fleet/internal/exchangeclock.cpp
+++ b/src/fleet/internal/exchangeclock.cpp
@@ -9,26 +9,28 @@
 
 namespace {
 
-//! Steps of a period; the stages have the first ones.
-constexpr std::int64_t kSteps = kReportPeriod / kExchangeStep;
+//! Number of steps in a period. Each stage takes one of the first steps.
+constexpr std::int64_t kStepsPerPeriod = kReportPeriod / kExchangeStep;
 constexpr std::array kStages{ ExchangeStage::Own,
                               ExchangeStage::GroupSums,
                               ExchangeStage::ZoneSums,
                               ExchangeStage::FleetSums };
-static_assert(kStages.size() <= kSteps);
+static_assert(kStages.size() <= kStepsPerPeriod);
 
 }
 
 std::vector<ExchangeStage>
 ExchangeClock::Due(base::Duration aTimeOfDay)
 {
-  const std::int64_t now = aTimeOfDay / kExchangeStep;
-  const bool goesOn = m_lastStep && *m_lastStep <= now;
-  const auto last = goesOn ? std::max(*m_lastStep, now - kSteps) : now - 1;
-  m_lastStep = now;
+  const std::int64_t currentStep = aTimeOfDay / kExchangeStep;
+  const bool clockAdvanced = m_lastStep && *m_lastStep <= currentStep;
+  const auto lastDone = clockAdvanced
+                          ? std::max(*m_lastStep, currentStep - kStepsPerPeriod)
+                          : currentStep - 1;
+  m_lastStep = currentStep;
   std::vector<ExchangeStage> due;
-  for (auto step = last + 1; step <= now; ++step) {
-    const auto stage = static_cast<std::size_t>(step % kSteps);
+  for (auto step = lastDone + 1; step <= currentStep; ++step) {
+    const auto stage = static_cast<std::size_t>(step % kStepsPerPeriod);
     if (stage < kStages.size()) {
       due.push_back(kStages.at(stage));
     }
--- a/src/fleet/internal/exchangeplan.cpp
+++ b/src/fleet/internal/exchangeplan.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-//! A group's name: its availability zone, and its number there.
+//! Identifies a group by its availability zone and its number in the zone.
 struct GroupKey
 {
   std::uint32_t zone = 0;
@@ -30,7 +30,7 @@
 using Members = std::vector<const FleetMember*>;
 using Groups = std::map<GroupKey, Members>;
 
-//! Splits each zone's routers into groups, each in the order of its hashes.
+//! Splits the routers of each zone into groups, each sorted by hash.
 Groups
 MakeGroups(const Members& aAll)
 {
@@ -56,29 +56,28 @@
   return groups;
 }
 
-//! Where a router stands in the order of those that read the store: first the
-//! first hub of one group of each zone, so that what cuts off a zone leaves
-//! readers in others.
-struct ReadOrder
+//! Sort key of the order in which routers read the store. The first hub of one
+//! group of each zone comes first, so that readers remain if a zone is cut off.
+struct ReadOrderKey
 {
-  std::size_t placeInGroup = 0;
+  std::size_t rankInGroup = 0;
   std::uint32_t group = 0;
   std::uint32_t hash = 0;
   const FleetMember* member = nullptr;
 
-  bool operator<(const ReadOrder& aOther) const
+  bool operator<(const ReadOrderKey& aOther) const
   {
-    return std::tie(placeInGroup, group, hash) <
-           std::tie(aOther.placeInGroup, aOther.group, aOther.hash);
+    return std::tie(rankInGroup, group, hash) <
+           std::tie(aOther.rankInGroup, aOther.group, aOther.hash);
   }
 };
 
 void
-PlanReading(ExchangePlan& aPlan,
-            const Groups& aGroups,
-            const FleetMember& aSelf)
+PlanStoreReaders(ExchangePlan& aPlan,
+                 const Groups& aGroups,
+                 const FleetMember& aSelf)
 {
-  std::vector<ReadOrder> order;
+  std::vector<ReadOrderKey> order;
   for (const auto& [key, members] : aGroups) {
     for (std::size_t i = 0; i < members.size(); ++i) {
       order.push_back({ i, key.number, members[i]->hash, members[i] });
@@ -105,7 +104,7 @@
   return hubs;
 }
 
-//! Fills in what this router has to do in its own group.
+//! Fills in the role of this router in its own group and its targets there.
 void
 PlanOwnGroup(ExchangePlan& aPlan,
              const Members& aMembers,
@@ -131,16 +130,16 @@
   }
 }
 
-//! A zone's hubs, the first ones of its groups before the second ones: the
-//! first few speak for the zone.
+//! Returns the hubs of a zone: the first hub of each group, then the second
+//! ones. The first kSpeakersOfZone of them represent the zone.
 std::vector<base::Address>
 HubsOfZone(const Groups& aGroups, std::uint32_t aZone)
 {
   std::vector<base::Address> hubs;
-  for (std::size_t place = 0; place < kHubsOfGroup; ++place) {
+  for (std::size_t rank = 0; rank < kHubsOfGroup; ++rank) {
     for (const auto& [key, members] : aGroups) {
-      if (key.zone == aZone && place < members.size()) {
-        hubs.push_back(members[place]->address);
+      if (key.zone == aZone && rank < members.size()) {
+        hubs.push_back(members[rank]->address);
       }
     }
   }
@@ -158,13 +157,15 @@
 }
 
 void
-KeepFirst(std::vector<base::Address>& aRouters, std::size_t aMost)
+Truncate(std::vector<base::Address>& aRouters, std::size_t aMaxCount)
 {
-  aRouters.resize(std::min(aRouters.size(), aMost));
+  aRouters.resize(std::min(aRouters.size(), aMaxCount));
 }
 
 void
-PlanZones(ExchangePlan& aPlan, const Groups& aGroups, const FleetMember& aSelf)
+PlanZoneExchange(ExchangePlan& aPlan,
+                 const Groups& aGroups,
+                 const FleetMember& aSelf)
 {
   auto own = HubsOfZone(aGroups, aSelf.zone);
   for (const auto& hub : own) {
@@ -172,7 +173,7 @@
       aPlan.relays.push_back(hub);
     }
   }
-  KeepFirst(own, kSpeakersOfZone);
+  Truncate(own, kSpeakersOfZone);
   const auto self = std::find(own.begin(), own.end(), aSelf.address);
   if (self == own.end()) {
     return;
@@ -182,13 +183,15 @@
   for (const auto zone : ZonesOf(aGroups)) {
     if (zone != aSelf.zone) {
       aPlan.otherZones.push_back(HubsOfZone(aGroups, zone));
-      KeepFirst(aPlan.otherZones.back(), kSpeakersOfZone);
+      Truncate(aPlan.otherZones.back(), kSpeakersOfZone);
     }
   }
 }
 
 void
-PlanGroups(ExchangePlan& aPlan, const Groups& aGroups, const FleetMember& aSelf)
+PlanZoneGroups(ExchangePlan& aPlan,
+               const Groups& aGroups,
+               const FleetMember& aSelf)
 {
   for (const auto& [key, members] : aGroups) {
     if (key.zone != aSelf.zone) {
@@ -211,11 +214,11 @@
 std::vector<base::Address>
 ExchangePlan::ZoneContacts(std::uint64_t aSequence) const
 {
-  std::vector<base::Address> contacts;
+  std::vector<base::Address> receivers;
   for (const auto& hubs : otherZones) {
-    contacts.push_back(hubs[(aSequence / speakers) % hubs.size()]);
+    receivers.push_back(hubs[(aSequence / speakers) % hubs.size()]);
   }
-  return contacts;
+  return receivers;
 }
 
 ExchangePlan
@@ -228,10 +231,10 @@
     all.push_back(&member);
   }
   const auto groups = MakeGroups(all);
-  PlanReading(plan, groups, aSelf);
+  PlanStoreReaders(plan, groups, aSelf);
   if (all.size() > kMeshMost) {
-    PlanGroups(plan, groups, aSelf);
-    PlanZones(plan, groups, aSelf);
+    PlanZoneGroups(plan, groups, aSelf);
+    PlanZoneExchange(plan, groups, aSelf);
     return plan;
   }
   for (const auto& member : aOthers) {
--- a/src/fleet/internal/loadsum.cpp
+++ b/src/fleet/internal/loadsum.cpp
@@ -91,8 +91,8 @@
 TimePoint
 LoadSum::AsOf() const
 {
-  const double mean = m_routers > 0 ? m_asOfMs / m_routers : 0.0;
-  return TimePoint(static_cast<std::int64_t>(mean));
+  const double meanMs = m_routers > 0 ? m_asOfMs / m_routers : 0.0;
+  return TimePoint(static_cast<std::int64_t>(meanMs));
 }
 
 UpstreamLoad
--- a/src/fleet/internal/membership.cpp
+++ b/src/fleet/internal/membership.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-//! More members than this are not taken from what others tell: a bound on
-//! what rubbish can do.
-constexpr std::size_t kMostMembers = 2048;
+//! Maximum number of members. It bounds the memory that invalid member lists
+//! can take.
+constexpr std::size_t kMaxMembers = 2048;
 
 std::uint32_t
 HashOf(const base::Address& aAddress)
@@ -54,11 +54,11 @@
       continue;
     }
     const auto text = known.address.Text();
-    if (m_members.size() >= kMostMembers && !m_members.contains(text)) {
+    if (m_members.size() >= kMaxMembers && !m_members.contains(text)) {
       continue;
     }
     if (!m_members.contains(text)) {
-      m_grownAt = aNow;
+      m_newMemberAt = aNow;
     }
     auto& member = m_members[text];
     member.address = known.address;
@@ -71,15 +71,15 @@
 std::vector<std::string>
 Membership::Forget(TimePoint aNow)
 {
-  std::vector<std::string> gone;
+  std::vector<std::string> forgotten;
   std::erase_if(m_members, [&](const auto& aEntry) {
-    const bool old = aNow - aEntry.second.aliveAt > kMemberKept;
-    if (old) {
-      gone.push_back(aEntry.first);
+    const bool isExpired = aNow - aEntry.second.aliveAt > kMemberKept;
+    if (isExpired) {
+      forgotten.push_back(aEntry.first);
     }
-    return old;
+    return isExpired;
   });
-  return gone;
+  return forgotten;
 }
 
 std::size_t
@@ -106,9 +106,10 @@
   return plan;
 }
 
-//! Routers that were not heard lately belong to it too: one that is cut off
-//! from the others comes to the same owners as they do, until it has forgotten
-//! them. By then it is alone, or knows only routers that are cut off with it.
+//! The set includes members that are not alive, so that a router which is cut
+//! off computes the same owners of cold upstreams as the others until it
+//! forgets them. By then it is alone, or knows only routers that are cut off
+//! with it.
 RouterSet
 Membership::Routers(TimePoint aNow) const
 {
@@ -119,26 +120,27 @@
     set.routers.push_back(member.hash);
   }
   const bool isAlone = !m_seeds.empty() && IsAlone(aNow);
-  const bool hearsMost = 2 * Alive(aNow) > set.routers.size();
-  set.isSettled = !isAlone && hearsMost && aNow - m_grownAt >= kRoutersSettle;
+  const bool hearsMajority = 2 * Alive(aNow) > set.routers.size();
+  set.isSettled =
+    !isAlone && hearsMajority && aNow - m_newMemberAt >= kRoutersSettle;
   return set;
 }
 
 std::vector<base::Address>
 Membership::SeedsToTell(TimePoint aNow)
 {
-  //! NOTE all routers ask the same few seeds: the more there are, the less
-  //! often each asks.
+  // All routers contact the same few seeds, so the period grows with the
+  // fleet's size.
   const auto alive = Alive(aNow);
   const auto period =
     alive <= 1
       ? kReportPeriod
       : kSeedPeriod *
           std::max<std::int64_t>(1, static_cast<std::int64_t>(alive / 32));
-  if (aNow - m_seedsToldAt < period) {
+  if (aNow - m_seedsContactedAt < period) {
     return {};
   }
-  m_seedsToldAt = aNow;
+  m_seedsContactedAt = aNow;
   return m_seeds;
 }
 
--- a/src/fleet/loadsum.h
+++ b/src/fleet/loadsum.h
@@ -7,15 +7,19 @@
 
 namespace hemlockgauge::fleet {
 
-//! Adds up what routers have in progress and what workspaces ask of them.
+//! Sum of the reports of several routers: requests in progress per upstream,
+//! request rates per workspace, call rates per service.
 class LoadSum
 {
 public:
-  //! aAsOf: since when the report's loads are known, by this router's clock.
+  //! Adds a report. aAsOf is the time, by this router's clock, at which the
+  //! report's loads were current.
   void Add(const PeerReport& aReport, TimePoint aAsOf);
-  //! Takes out what was added as part of a sum.
+  //! Subtracts a report that is contained in a sum added before. No value goes
+  //! below zero.
   void TakeOut(const PeerReport& aReport);
-  //! Replaces the report's loads with their age, rates and count of routers.
+  //! Replaces the loads, rates and router counts of aReport by those of this
+  //! sum, and sets the age of the loads at aNow.
   void PutInto(PeerReport& aReport, TimePoint aNow) const;
   void Clear();
 
@@ -25,7 +29,8 @@
   std::uint32_t Routers() const { return m_routers; }
   std::uint32_t Busy() const { return m_busy; }
   double Reading() const { return m_reading; }
-  //! Since when the loads are known, in the mean over the routers.
+  //! Time at which the loads were current, by this router's clock, as the mean
+  //! over the routers.
   TimePoint AsOf() const;
 
 private:
@@ -35,7 +40,7 @@
   std::uint32_t m_routers = 0;
   std::uint32_t m_busy = 0;
   double m_reading = 0;
-  double m_asOfMs = 0; //!< summed over the routers
+  double m_asOfMs = 0; //!< times in ms, summed over the routers
 };
 
 }
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -10,9 +10,10 @@
 
 namespace hemlockgauge::fleet {
 
-//! The routers of the fleet, as far as known. Found through the seeds and
-//! through what members tell of others, each with the time since it was
-//! heard by anyone, so that hearsay keeps no lost router alive.
+//! The known routers of the fleet. A router discovers the others through the
+//! seeds and the member lists in reports. Each list entry carries the time
+//! since any router heard the member directly, so that forwarding an entry
+//! doesn't keep a lost router alive.
 class Membership
 {
 public:
@@ -20,26 +21,30 @@
              std::uint32_t aZone,
              const std::vector<base::Address>& aSeeds);
 
-  //! A report came from there.
+  //! Records that a report of aMember arrived at aNow.
   void Heard(const base::Address& aMember, std::uint32_t aZone, TimePoint aNow);
+  //! Merges a member list that another router sent.
   void Learn(const std::vector<KnownMember>& aMembers, TimePoint aNow);
-  //! Drops who was not heard for long; returns their addresses.
+  //! Removes members that no router heard for kMemberKept and returns their
+  //! addresses as text.
   std::vector<std::string> Forget(TimePoint aNow);
 
   ExchangePlan Plan(TimePoint aNow) const;
-  //! Seeds that are worth a word now: a partition may have hidden them.
+  //! Returns the seeds if it is time to contact them again, which reconnects
+  //! the parts of the fleet after a network partition. Otherwise returns an
+  //! empty list.
   std::vector<base::Address> SeedsToTell(TimePoint aNow);
   std::vector<KnownMember> Known(TimePoint aNow) const;
   std::vector<KnownMember> KnownOfZone(std::uint32_t aZone,
                                        TimePoint aNow) const;
-  //! Alive routers, this one too.
+  //! Number of routers that are alive, including this one.
   std::size_t Alive(TimePoint aNow) const;
   bool IsAlone(TimePoint aNow) const { return Alive(aNow) <= 1; }
 
 private:
   struct Member : FleetMember
   {
-    TimePoint aliveAt{};
+    TimePoint aliveAt{}; //!< when any router last heard this member
   };
 
   bool IsAlive(const Member& aMember, TimePoint aNow) const;
@@ -48,8 +53,9 @@
   FleetMember m_self;
   std::vector<base::Address> m_seeds;
   std::map<std::string, Member> m_members;
-  TimePoint m_grownAt{ TimePoint::min() / 2 }; //!< m_members
-  TimePoint m_seedsToldAt{ TimePoint::min() / 2 };
+  TimePoint m_newMemberAt{ TimePoint::min() /
+                           2 }; //!< when a new member was last learned
+  TimePoint m_seedsContactedAt{ TimePoint::min() / 2 };
 };
 
 }
