--- a/src/fleet/exchangeplan.h
+++ b/src/fleet/exchangeplan.h
@@ -36,9 +36,9 @@
   //! gets from other zones.
   std::vector<base::Address> relays;
   //! For each other zone, the hubs that accept zone sums. Empty unless this
-  //! router represents its zone.
+  //! router is a speaker of its zone.
   std::vector<std::vector<base::Address>> otherZones;
-  std::uint64_t speakers = 0; //!< number of representatives of this zone
+  std::uint64_t speakers = 0; //!< number of speakers of this zone
   std::uint64_t speaker = 0;  //!< index of this router among them, if it is one
   //! The first kStoreReaders routers in the order of readRank. All routers
   //! compute the same list; it spans availability zones where there are
@@ -63,8 +63,8 @@
     return groupHubs.empty() || aPeriod % groupHubs.size() == hubRank;
   }
   //! Whether this router sends the zone sum to other zones along with its
-  //! report number aSequence. The representatives of a zone take turns; if one
-  //! is lost, half of the zone sums still arrive.
+  //! report number aSequence. The speakers of a zone take turns; if one is
+  //! lost, half of the zone sums still arrive.
   bool Speaks(std::uint64_t aSequence) const
   {
     return !otherZones.empty() && aSequence % speakers == speaker;
@@ -79,7 +79,7 @@
 //! Up to kMeshMost routers form a full mesh. In a larger fleet, the routers of
 //! each availability zone are split into groups, and two hubs per group, which
 //! all routers determine alike, sum up reports and pass them on. The hubs of a
-//! zone exchange their group sums. Two of them represent the zone: they send
+//! zone exchange their group sums. Two of them, the speakers of the zone, send
 //! its sum to the other zones, whose hubs forward it among themselves.
 //!
 //! Per period, a router then sends and receives a few datagrams whatever the
--- a/src/fleet/internal/exchangeplan.cpp
+++ b/src/fleet/internal/exchangeplan.cpp
@@ -131,7 +131,7 @@
 }
 
 //! Returns the hubs of a zone: the first hub of each group, then the second
-//! ones. The first kSpeakersOfZone of them represent the zone.
+//! ones. The first kSpeakersOfZone of them are the speakers of the zone.
 std::vector<base::Address>
 HubsOfZone(const Groups& aGroups, std::uint32_t aZone)
 {
--- a/src/fleet/internal/newslog.cpp
+++ b/src/fleet/internal/newslog.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-//! Changes that are remembered: some minutes of an ordinary day.
-constexpr std::size_t kChangesKept = 1024;
+//! Maximum number of logged changes: some minutes at the usual rate of changes.
+constexpr std::size_t kMaxChanges = 1024;
 
 }
 
@@ -29,11 +29,11 @@
 }
 
 void
-NewsLog::Note(const std::string& aId)
+NewsLog::LogChange(const std::string& aId)
 {
   m_changes.push_back({ ++m_sequence, aId });
   m_digest = 0;
-  if (m_changes.size() > kChangesKept) {
+  if (m_changes.size() > kMaxChanges) {
     m_changes.pop_front();
   }
 }
@@ -44,12 +44,12 @@
   for (const auto& [id, entry] : aEntries) {
     const auto known = m_upstreams.find(id);
     if (known == m_upstreams.end() || !(known->second == entry)) {
-      Note(id);
+      LogChange(id);
     }
   }
   for (const auto& [id, entry] : m_upstreams) {
     if (!aEntries.contains(id)) {
-      Note(id);
+      LogChange(id);
     }
   }
   m_upstreams = aEntries;
@@ -61,12 +61,12 @@
 {
   if (m_evacuations != aAll) {
     m_evacuations = aAll;
-    Note("");
+    LogChange("");
   }
 }
 
 bool
-NewsLog::KnowsSince(const NewsAsk& aAsk) const
+NewsLog::CoversSince(const NewsAsk& aAsk) const
 {
   const auto oldest =
     m_changes.empty() ? m_sequence + 1 : m_changes.front().sequence;
@@ -78,7 +78,7 @@
 NewsLog::WantsAll(const NewsAsk& aAsk) const
 {
   const bool sameList = aAsk.digest != 0 && aAsk.digest == Digest();
-  return !KnowsSince(aAsk) && !sameList;
+  return !CoversSince(aAsk) && !sameList;
 }
 
 std::uint64_t
@@ -105,12 +105,12 @@
 bool
 NewsLog::HasNews(const NewsAsk& aAsk) const
 {
-  return !KnowsSince(aAsk) || aAsk.sequence < m_sequence ||
+  return !CoversSince(aAsk) || aAsk.sequence < m_sequence ||
          aAsk.configVersion < m_configVersion;
 }
 
 std::vector<UpstreamEntry>
-NewsLog::Listed() const
+NewsLog::AllEntries() const
 {
   std::vector<UpstreamEntry> all;
   for (const auto& [id, entry] : m_upstreams) {
@@ -127,7 +127,7 @@
   news.life = m_life;
   news.sequence = m_sequence;
   news.full = true;
-  news.upstreams = Listed();
+  news.upstreams = AllEntries();
   return news;
 }
 
@@ -144,9 +144,9 @@
   news.evacuations = m_evacuations;
   news.full = WantsAll(aAsk);
   if (news.full) {
-    news.upstreams = Listed();
+    news.upstreams = AllEntries();
   }
-  if (!KnowsSince(aAsk)) {
+  if (!CoversSince(aAsk)) {
     return news;
   }
   std::set<std::string> changed;
--- a/src/fleet/internal/peerview.cpp
+++ b/src/fleet/internal/peerview.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-//! A view of more reports than this is summed up once a period instead of
-//! at each of them.
-constexpr std::size_t kSumAtOnce = 12;
-//! Own reports that a sum may still hold: as long as it counts.
-constexpr std::size_t kOwnKept =
+//! A view of more reports than this is summed up once per period instead of
+//! after each report.
+constexpr std::size_t kMaxReportsToSumAtOnce = 12;
+//! Number of sent reports to keep. A received sum may contain any report that
+//! was sent within kReportKept.
+constexpr std::size_t kSentReportsKept =
   static_cast<std::size_t>(kReportKept / kReportPeriod) + 4;
 
 std::uint32_t
@@ -38,20 +39,20 @@
   }
   m_isHub = aIsHub;
   m_group = aGroup;
-  std::erase_if(m_groups, [&](const auto& aEntry) {
+  std::erase_if(m_groupSums, [&](const auto& aEntry) {
     return aEntry.first == aGroup || ZoneOf(aEntry.first) != ZoneOf(aGroup);
   });
-  m_zones.erase(ZoneOf(aGroup));
-  std::erase_if(m_told, [&](const auto& aEntry) {
+  m_zoneSums.erase(ZoneOf(aGroup));
+  std::erase_if(m_routerReports, [&](const auto& aEntry) {
     return aEntry.second.report.group != aGroup;
   });
-  Sum();
+  Recompute();
 }
 
 bool
 PeerView::Take(const PeerReport& aReport, TimePoint aNow)
 {
-  const auto keep = [&](auto& aTable, const auto& aKey) {
+  const auto store = [&](auto& aTable, const auto& aKey) {
     const auto found = aTable.find(aKey);
     const bool known =
       found != aTable.end() && found->second.report.router == aReport.router;
@@ -64,22 +65,24 @@
   bool taken = false;
   switch (aReport.scope) {
     case ReportScope::Router:
-      taken = aReport.group == m_group && keep(m_told, aReport.router);
+      taken =
+        aReport.group == m_group && store(m_routerReports, aReport.router);
       break;
     case ReportScope::Group:
       taken = aReport.group != m_group &&
               ZoneOf(aReport.group) == ZoneOf(m_group) &&
-              keep(m_groups, aReport.group);
+              store(m_groupSums, aReport.group);
       break;
     case ReportScope::Zone:
-      taken = aReport.zone != ZoneOf(m_group) && keep(m_zones, aReport.zone);
+      taken =
+        aReport.zone != ZoneOf(m_group) && store(m_zoneSums, aReport.zone);
       break;
     case ReportScope::Fleet:
-      taken = keep(m_fleet, aReport.router);
+      taken = store(m_fleetSums, aReport.router);
       break;
   }
   if (taken) {
-    SumSoon();
+    RecomputeIfCheap();
   }
   return taken;
 }
@@ -87,36 +90,37 @@
 void
 PeerView::Sent(const PeerReport& aOwn)
 {
-  m_own.push_back(aOwn);
-  m_own.back().uses.clear();
-  m_own.back().members.clear();
-  m_own.back().crashNews = {};
-  if (m_own.size() > kOwnKept) {
-    m_own.pop_front();
+  m_sentReports.push_back(aOwn);
+  m_sentReports.back().uses.clear();
+  m_sentReports.back().members.clear();
+  m_sentReports.back().crashNews = {};
+  if (m_sentReports.size() > kSentReportsKept) {
+    m_sentReports.pop_front();
   }
 }
 
 void
 PeerView::Forget(TimePoint aNow)
 {
-  const auto old = [&](const auto& aEntry) {
-    return aNow - aEntry.second.at > kReportKept;
+  const auto isExpired = [&](const auto& aEntry) {
+    return aNow - aEntry.second.receivedAt > kReportKept;
   };
-  const auto dropped =
-    std::erase_if(m_told, old) + std::erase_if(m_groups, old) +
-    std::erase_if(m_zones, old) + std::erase_if(m_fleet, old);
+  const auto dropped = std::erase_if(m_routerReports, isExpired) +
+                       std::erase_if(m_groupSums, isExpired) +
+                       std::erase_if(m_zoneSums, isExpired) +
+                       std::erase_if(m_fleetSums, isExpired);
   if (dropped > 0 || m_stale) {
-    Sum();
+    Recompute();
   }
 }
 
 const PeerReport*
-PeerView::OwnPartOf(const PeerReport& aSum) const
+PeerView::FindOwnReportIn(const PeerReport& aSum) const
 {
-  for (const auto& own : m_own) {
-    const auto self = base::RouterId(base::HashName(own.router));
+  for (const auto& own : m_sentReports) {
+    const auto sender = base::RouterId(base::HashName(own.router));
     for (const auto& heard : aSum.heard) {
-      if (heard.router == self && heard.sequence == own.sequence) {
+      if (heard.router == sender && heard.sequence == own.sequence) {
         return &own;
       }
     }
@@ -125,57 +129,58 @@
 }
 
 void
-PeerView::SumSoon()
+PeerView::RecomputeIfCheap()
 {
-  if (m_told.size() + m_groups.size() + m_zones.size() <= kSumAtOnce) {
-    Sum();
+  if (m_routerReports.size() + m_groupSums.size() + m_zoneSums.size() <=
+      kMaxReportsToSumAtOnce) {
+    Recompute();
   } else {
     m_stale = true;
   }
 }
 
 void
-PeerView::Sum()
+PeerView::Recompute()
 {
   m_stale = false;
   m_sum.Clear();
   if (m_isHub) {
-    for (const auto& [router, told] : m_told) {
-      m_sum.Add(told.report, told.AsOf());
+    for (const auto& [router, received] : m_routerReports) {
+      m_sum.Add(received.report, received.AsOf());
     }
-    for (const auto& [group, told] : m_groups) {
-      m_sum.Add(told.report, told.AsOf());
+    for (const auto& [group, received] : m_groupSums) {
+      m_sum.Add(received.report, received.AsOf());
     }
-    for (const auto& [zone, told] : m_zones) {
-      m_sum.Add(told.report, told.AsOf());
+    for (const auto& [zone, received] : m_zoneSums) {
+      m_sum.Add(received.report, received.AsOf());
     }
     return;
   }
-  const Told* newest = nullptr;
-  for (const auto& [hub, told] : m_fleet) {
-    if (newest == nullptr || told.at > newest->at) {
-      newest = &told;
+  const ReceivedReport* newest = nullptr;
+  for (const auto& [hub, received] : m_fleetSums) {
+    if (newest == nullptr || received.receivedAt > newest->receivedAt) {
+      newest = &received;
     }
   }
   if (newest == nullptr) {
     return;
   }
   m_sum.Add(newest->report, newest->AsOf());
-  if (const auto* own = OwnPartOf(newest->report)) {
+  if (const auto* own = FindOwnReportIn(newest->report)) {
     m_sum.TakeOut(*own);
   }
 }
 
 template<typename Table>
 std::vector<HeardRouter>
-PeerView::HeardOf(const Table& aTable)
+PeerView::LastReportsOf(const Table& aTable)
 {
   std::vector<HeardRouter> heard;
   heard.reserve(aTable.size());
-  for (const auto& [key, told] : aTable) {
-    heard.push_back({ base::RouterId(base::HashName(told.report.router)),
-                      told.report.sequence,
-                      told.report.sentAt });
+  for (const auto& [key, received] : aTable) {
+    heard.push_back({ base::RouterId(base::HashName(received.report.router)),
+                      received.report.sequence,
+                      received.report.sentAt });
   }
   return heard;
 }
@@ -183,25 +188,25 @@
 std::vector<HeardRouter>
 PeerView::Heard() const
 {
-  return HeardOf(m_told);
+  return LastReportsOf(m_routerReports);
 }
 
 LoadSum
-PeerView::SumOfGroup(const PeerReport& aOwn) const
+PeerView::AddUpGroup(const PeerReport& aOwn) const
 {
   LoadSum all;
   all.Add(aOwn, aOwn.sentAt);
-  for (const auto& [router, told] : m_told) {
-    all.Add(told.report, told.AsOf());
+  for (const auto& [router, received] : m_routerReports) {
+    all.Add(received.report, received.AsOf());
   }
   return all;
 }
 
 PeerReport
-PeerView::SumOf(const LoadSum& aAll,
-                const PeerReport& aOwn,
-                ReportScope aScope,
-                TimePoint aNow)
+PeerView::MakeSum(const LoadSum& aAll,
+                  const PeerReport& aOwn,
+                  ReportScope aScope,
+                  TimePoint aNow)
 {
   auto sum = aOwn;
   sum.scope = aScope;
@@ -213,20 +218,20 @@
 PeerReport
 PeerView::GroupSum(const PeerReport& aOwn, TimePoint aNow) const
 {
-  auto sum = SumOf(SumOfGroup(aOwn), aOwn, ReportScope::Group, aNow);
-  sum.heard = HeardOf(m_groups);
+  auto sum = MakeSum(AddUpGroup(aOwn), aOwn, ReportScope::Group, aNow);
+  sum.heard = LastReportsOf(m_groupSums);
   return sum;
 }
 
 PeerReport
 PeerView::ZoneSum(const PeerReport& aOwn, TimePoint aNow) const
 {
-  auto all = SumOfGroup(aOwn);
-  for (const auto& [group, told] : m_groups) {
-    all.Add(told.report, told.AsOf());
+  auto all = AddUpGroup(aOwn);
+  for (const auto& [group, received] : m_groupSums) {
+    all.Add(received.report, received.AsOf());
   }
-  auto sum = SumOf(all, aOwn, ReportScope::Zone, aNow);
-  sum.heard = HeardOf(m_zones);
+  auto sum = MakeSum(all, aOwn, ReportScope::Zone, aNow);
+  sum.heard = LastReportsOf(m_zoneSums);
   return sum;
 }
 
@@ -234,11 +239,11 @@
 PeerView::FleetSum(const PeerReport& aOwn, TimePoint aNow)
 {
   if (m_stale) {
-    Sum();
+    Recompute();
   }
   auto all = m_sum;
   all.Add(aOwn, aOwn.sentAt);
-  auto sum = SumOf(all, aOwn, ReportScope::Fleet, aNow);
+  auto sum = MakeSum(all, aOwn, ReportScope::Fleet, aNow);
   sum.heard = Heard();
   return sum;
 }
@@ -253,17 +258,17 @@
 PeerView::Age(TimePoint aNow) const
 {
   Duration oldest{};
-  const auto look = [&](const auto& aTable) {
-    for (const auto& [key, told] : aTable) {
-      oldest = std::max(oldest, aNow - told.at);
+  const auto includeTable = [&](const auto& aTable) {
+    for (const auto& [key, received] : aTable) {
+      oldest = std::max(oldest, aNow - received.receivedAt);
     }
   };
   if (m_isHub) {
-    look(m_told);
-    look(m_groups);
-    look(m_zones);
+    includeTable(m_routerReports);
+    includeTable(m_groupSums);
+    includeTable(m_zoneSums);
   } else {
-    look(m_fleet);
+    includeTable(m_fleetSums);
   }
   return oldest;
 }
--- a/src/fleet/internal/sourceoptions.cpp
+++ b/src/fleet/internal/sourceoptions.cpp
@@ -8,39 +8,40 @@
 
 namespace {
 
-//! Routers beyond its own hubs that a router turns to.
-constexpr std::size_t kOtherSources = 2;
+//! Maximum number of peers that a router lists as sources after the store.
+constexpr std::size_t kMaxPeerSources = 2;
 
-//! To be filled: the default names the store.
+//! Returns options with an empty order. The default order holds the store.
 SourceOptions
-WithoutSources()
+EmptyOptions()
 {
   SourceOptions options;
   options.order.clear();
   return options;
 }
 
-//! Adds up to aMost of aRouters, beginning at the one that aHash draws.
+//! Appends up to aMaxCount of aRouters to the order, starting at the index that
+//! the router's hash selects. Skips this router and those already in the order.
 void
 AddRouters(SourceOptions& aOptions,
            const std::vector<base::Address>& aRouters,
-           std::size_t aMost,
+           std::size_t aMaxCount,
            const SourceView& aView)
 {
-  for (std::size_t i = 0; i < std::min(aMost, aRouters.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(aMaxCount, aRouters.size()); ++i) {
     const auto& router = aRouters[(aView.hash + i) % aRouters.size()];
     const NewsSource source{ SourceKind::Router, router };
     const auto& order = aOptions.order;
-    const bool known =
+    const bool isListed =
       std::find(order.begin(), order.end(), source) != order.end();
-    if (!known && !(router == aView.self)) {
+    if (!isListed && !(router == aView.self)) {
       aOptions.order.push_back(source);
     }
   }
 }
 
 std::optional<std::size_t>
-PlaceOf(const SourceOptions& aOptions, const base::Address& aRouter)
+IndexOf(const SourceOptions& aOptions, const base::Address& aRouter)
 {
   const NewsSource source{ SourceKind::Router, aRouter };
   const auto& order = aOptions.order;
@@ -56,14 +57,14 @@
 {
   if (aView.knownReader) {
     AddRouters(aOptions, { *aView.knownReader }, 1, aView);
-    aOptions.known = PlaceOf(aOptions, *aView.knownReader);
+    aOptions.known = IndexOf(aOptions, *aView.knownReader);
   }
 }
 
 SourceOptions
-StartOptions(const SourceView& aView)
+OptionsAtStart(const SourceView& aView)
 {
-  auto options = WithoutSources();
+  auto options = EmptyOptions();
   AddRouters(options, aView.seeds, 1, aView);
   options.order.emplace_back();
   options.patience = aView.seedWait;
@@ -71,21 +72,22 @@
 }
 
 SourceOptions
-StoreFirst(const SourceView& aView, const ExchangePlan& aPlan)
+OptionsWithStoreFirst(const SourceView& aView, const ExchangePlan& aPlan)
 {
-  auto options = WithoutSources();
+  auto options = EmptyOptions();
   options.order.emplace_back();
   AddKnownReader(options, aView);
-  AddRouters(options, aPlan.tell, kOtherSources, aView);
+  AddRouters(options, aPlan.tell, kMaxPeerSources, aView);
   return options;
 }
 
-//! How old the proof must be before a router of this rank reads the store.
+//! Returns the proof age beyond which a router of rank aRank, which is not one
+//! of the store's readers, reads the store itself.
 Duration
-TurnsToStoreAfter(std::size_t aRank)
+TakeoverProofAge(std::size_t aRank)
 {
-  const auto before = aRank - std::min(aRank, kStoreReaders);
-  return kTakeoverAfter + static_cast<std::int64_t>(before) * kTakeoverStep;
+  const auto ranksAhead = aRank - std::min(aRank, kStoreReaders);
+  return kTakeoverAfter + static_cast<std::int64_t>(ranksAhead) * kTakeoverStep;
 }
 
 }
@@ -120,27 +122,28 @@
 SourceOptions
 MakeSourceOptions(const SourceView& aView, const ExchangePlan& aPlan)
 {
-  const bool knowsAll = aPlan.IsLarge() && aView.proofAge < aView.sinceStart;
-  const bool starts = aView.sinceStart < kSourceSettle && !knowsAll;
-  if (starts && !aView.isSeed && !aView.seeds.empty()) {
-    return StartOptions(aView);
+  const bool hasLearnedFleet =
+    aPlan.IsLarge() && aView.proofAge < aView.sinceStart;
+  const bool isStarting = aView.sinceStart < kSourceSettle && !hasLearnedFleet;
+  if (isStarting && !aView.isSeed && !aView.seeds.empty()) {
+    return OptionsAtStart(aView);
   }
-  if (starts || !aPlan.IsLarge()) {
-    return StoreFirst(aView, aPlan);
+  if (isStarting || !aPlan.IsLarge()) {
+    return OptionsWithStoreFirst(aView, aPlan);
   }
-  auto options = WithoutSources();
-  const bool reads = aPlan.readRank < kStoreReaders;
-  if (reads) {
+  auto options = EmptyOptions();
+  const bool isReader = aPlan.readRank < kStoreReaders;
+  if (isReader) {
     options.order.emplace_back();
   } else {
-    const auto& first = aPlan.isHub ? aPlan.readers : aPlan.groupHubs;
-    AddRouters(options, first, 1, aView);
+    const auto& preferred = aPlan.isHub ? aPlan.readers : aPlan.groupHubs;
+    AddRouters(options, preferred, 1, aView);
   }
   AddKnownReader(options, aView);
   AddRouters(options, aPlan.groupHubs, aPlan.groupHubs.size(), aView);
   AddRouters(options, aPlan.readers, aPlan.readers.size(), aView);
-  options.takesOver = !reads && !aView.knownReader &&
-                      aView.proofAge > TurnsToStoreAfter(aPlan.readRank);
+  options.takesOver = !isReader && !aView.knownReader &&
+                      aView.proofAge > TakeoverProofAge(aPlan.readRank);
   return options;
 }
 
--- a/src/fleet/internal/sourcepolicy.cpp
+++ b/src/fleet/internal/sourcepolicy.cpp
@@ -7,7 +7,7 @@
 namespace hemlockgauge::fleet {
 
 SourcePolicy::SourcePolicy()
-  : m_dwell(kSourceDwell)
+  : m_minDwell(kSourceDwell)
 {
 }
 
@@ -16,8 +16,8 @@
 {
   const bool sameOrder = aOptions.order == m_options.order;
   m_options = aOptions;
-  if (!m_hasBegun) {
-    Use(0, aNow);
+  if (!m_hasStarted) {
+    SelectSource(0, aNow);
     return;
   }
   if (sameOrder || m_hasTakenOver) {
@@ -28,7 +28,7 @@
   const auto found = std::find(order.begin(), order.end(), m_current);
   if (IsPreferred() || found == order.end()) {
     if (!(order[0] == m_current)) {
-      Use(0, aNow);
+      SelectSource(0, aNow);
     }
     return;
   }
@@ -36,11 +36,11 @@
 }
 
 void
-SourcePolicy::Begin(const NewsSource& aSource, TimePoint aNow)
+SourcePolicy::StartUsing(const NewsSource& aSource, TimePoint aNow)
 {
-  m_hasBegun = true;
+  m_hasStarted = true;
   m_current = aSource;
-  m_usedSince = aNow;
+  m_selectedAt = aNow;
   m_answeredAt = aNow;
   m_isPending = false;
   m_proofAge.reset();
@@ -54,19 +54,19 @@
 }
 
 void
-SourcePolicy::Use(std::size_t aIndex, TimePoint aNow)
+SourcePolicy::SelectSource(std::size_t aIndex, TimePoint aNow)
 {
   m_hasTakenOver = false;
   m_index = aIndex;
-  Begin(m_options.order[aIndex], aNow);
+  StartUsing(m_options.order[aIndex], aNow);
 }
 
 void
 SourcePolicy::TakeOver(TimePoint aNow)
 {
   m_hasTakenOver = true;
-  m_readWell = false;
-  Begin(NewsSource{}, aNow);
+  m_takeoverSucceeded = false;
+  StartUsing(NewsSource{}, aNow);
 }
 
 void
@@ -75,24 +75,24 @@
   m_answeredAt = aNow;
   m_proofAge = aProofAge;
   if (!IsStale(aNow)) {
-    m_dwell = kSourceDwell;
-    m_readWell = m_readWell || m_hasTakenOver;
+    m_minDwell = kSourceDwell;
+    m_takeoverSucceeded = m_takeoverSucceeded || m_hasTakenOver;
   }
 }
 
 bool
 SourcePolicy::IsSilent(TimePoint aNow) const
 {
-  auto limit =
+  auto timeout =
     m_current.kind == SourceKind::Store ? kStoreSilent : kRouterSilent;
   if (m_current.kind == SourceKind::Store && IsPreferred()) {
-    limit = kStoreSilentForAll;
+    timeout = kStoreSilentForAll;
   }
   if (!m_proofAge && !m_isPending && m_options.patience &&
       m_current.kind == SourceKind::Router) {
-    limit = *m_options.patience;
+    timeout = *m_options.patience;
   }
-  return aNow - m_answeredAt > limit;
+  return aNow - m_answeredAt > timeout;
 }
 
 bool
@@ -101,8 +101,8 @@
   return m_proofAge && *m_proofAge + (aNow - m_answeredAt) > kSourceStale;
 }
 
-//! A store that answers no more, while another router reads it, turns this
-//! one away.
+//! If the store stopped answering this router but another router still reads
+//! it, this router changes to that one.
 bool
 SourcePolicy::IsBehindKnown(TimePoint aNow) const
 {
@@ -115,40 +115,41 @@
   return m_index != *m_options.known && IsStale(aNow);
 }
 
-//! On to the next one; back to the store at once for whom that is the first, or
-//! nobody sees it return. If all are cut off, each is kept longer than the one
-//! before: going round brings nothing, and each change costs a whole list.
+//! Moves on to the next source. A router that prefers the store returns to it
+//! right after any other source, or no router would notice when the store is
+//! reachable again. While all sources fail, each is kept longer than the one
+//! before, since each change of source may transfer the whole upstream list.
 void
-SourcePolicy::Move(TimePoint aNow)
+SourcePolicy::MoveOn(TimePoint aNow)
 {
-  m_dwell = std::min(m_dwell * 2, kSourceDwellMost);
+  m_minDwell = std::min(m_minDwell * 2, kSourceDwellMost);
   if (m_hasTakenOver) {
     m_mayTakeOverAt = aNow + kTakeoverPause;
   }
   const bool backToStore =
     !IsPreferred() && m_options.order[0].kind == SourceKind::Store;
-  const bool first = m_hasTakenOver || backToStore;
-  Use(first ? 0 : (m_index + 1) % m_options.order.size(), aNow);
+  const bool useFirst = m_hasTakenOver || backToStore;
+  SelectSource(useFirst ? 0 : (m_index + 1) % m_options.order.size(), aNow);
 }
 
 bool
 SourcePolicy::Tick(TimePoint aNow)
 {
   const auto before = m_current;
-  const auto used = aNow - m_usedSince;
-  const bool readsStore = m_options.order[0].kind == SourceKind::Store;
-  const bool settled = used > (readsStore ? kSourceDwell : m_dwell);
+  const auto usedFor = aNow - m_selectedAt;
+  const bool prefersStore = m_options.order[0].kind == SourceKind::Store;
+  const bool dwellIsOver = usedFor > (prefersStore ? kSourceDwell : m_minDwell);
   const bool isDue = m_options.takesOver && aNow >= m_mayTakeOverAt;
-  const bool wasRight = m_readWell && IsStale(aNow);
+  const bool mayTakeOverAgain = m_takeoverSucceeded && IsStale(aNow);
   const bool canMove = m_hasTakenOver || m_options.order.size() > 1;
   if (IsBehindKnown(aNow)) {
-    Use(*m_options.known, aNow);
-  } else if (!m_hasTakenOver && (isDue || wasRight)) {
+    SelectSource(*m_options.known, aNow);
+  } else if (!m_hasTakenOver && (isDue || mayTakeOverAgain)) {
     TakeOver(aNow);
-  } else if (canMove && (IsSilent(aNow) || (IsStale(aNow) && settled))) {
-    Move(aNow);
-  } else if (!IsPreferred() && used > kSourceRetry) {
-    Use(0, aNow);
+  } else if (canMove && (IsSilent(aNow) || (IsStale(aNow) && dwellIsOver))) {
+    MoveOn(aNow);
+  } else if (!IsPreferred() && usedFor > kSourceRetry) {
+    SelectSource(0, aNow);
   }
   return !(before == m_current);
 }
--- a/src/fleet/internal/upstreamlist.cpp
+++ b/src/fleet/internal/upstreamlist.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 EntryNotice
-Notice(const UpstreamEntry& aEntry, EntryChange aChange)
+MakeNotice(const UpstreamEntry& aEntry, EntryChange aChange)
 {
   return { aEntry.id, aChange, UpstreamIdOf(aEntry) };
 }
 
 EntryChange
-ChangeOfNew(const UpstreamEntry& aEntry)
+ChangeOfAdded(const UpstreamEntry& aEntry)
 {
   if (!aEntry.usable) {
     return EntryChange::Unusable;
@@ -28,22 +28,22 @@
 void
 UpstreamList::StoreLost(TimePoint aNow)
 {
-  if (!m_lostAt) {
-    m_lostAt = aNow;
+  if (!m_storeLostAt) {
+    m_storeLostAt = aNow;
   }
 }
 
 void
 UpstreamList::StoreReached(TimePoint aAt)
 {
-  if (!m_lostAt || aAt < *m_lostAt) {
+  if (!m_storeLostAt || aAt < *m_storeLostAt) {
     return;
   }
-  if (aAt - *m_lostAt >= m_lapseAfter) {
-    m_lapsesUntil = aAt + kLapseNoticed;
-    m_graceUntil = aAt + kLapseGrace;
+  if (aAt - *m_storeLostAt >= m_entryTtl) {
+    m_expiryWindowEnd = aAt + kLapseNoticed;
+    m_gracePeriodEnd = aAt + kLapseGrace;
   }
-  m_lostAt.reset();
+  m_storeLostAt.reset();
 }
 
 std::vector<EntryNotice>
@@ -57,35 +57,36 @@
 UpstreamList::Add(const UpstreamEntry& aEntry)
 {
   m_entries[aEntry.id] = aEntry;
-  return { Notice(aEntry, ChangeOfNew(aEntry)) };
+  return { MakeNotice(aEntry, ChangeOfAdded(aEntry)) };
 }
 
-//! An upstream that once told its start always does, so an entry without it
-//! comes from another writer.
+//! Upstreams that write their start time always write it. An entry without it
+//! after one with it therefore comes from another writer and is unusable.
 std::vector<EntryNotice>
 UpstreamList::Update(UpstreamEntry& aKnown, const UpstreamEntry& aEntry)
 {
   const auto before = aKnown;
   if (aEntry.usable && aEntry.startedAt &&
       before.startedAt > aEntry.startedAt) {
-    return { Notice(aEntry, EntryChange::Outdated) };
+    return { MakeNotice(aEntry, EntryChange::Outdated) };
   }
-  m_lapsed.erase(aEntry.id);
+  m_expired.erase(aEntry.id);
   if (!aEntry.usable || (before.startedAt && !aEntry.startedAt)) {
     aKnown.usable = false;
-    return before.usable ? std::vector{ Notice(before, EntryChange::Unusable) }
-                         : std::vector<EntryNotice>{};
+    return before.usable
+             ? std::vector{ MakeNotice(before, EntryChange::Unusable) }
+             : std::vector<EntryNotice>{};
   }
   aKnown = aEntry;
   if (before.usable && before.startedAt != aEntry.startedAt) {
-    return { Notice(before, EntryChange::Restarted),
-             Notice(aEntry, ChangeOfNew(aEntry)) };
+    return { MakeNotice(before, EntryChange::Restarted),
+             MakeNotice(aEntry, ChangeOfAdded(aEntry)) };
   }
   if (!before.usable) {
-    return { Notice(aEntry, ChangeOfNew(aEntry)) };
+    return { MakeNotice(aEntry, ChangeOfAdded(aEntry)) };
   }
   return aEntry.draining && !before.draining
-           ? std::vector{ Notice(aEntry, EntryChange::Draining) }
+           ? std::vector{ MakeNotice(aEntry, EntryChange::Draining) }
            : std::vector<EntryNotice>{};
 }
 
@@ -97,16 +98,16 @@
     return {};
   }
   const auto entry = found->second;
-  const bool mayComeBack =
-    MayHaveLapsed(aNow) && entry.usable && !entry.draining;
-  if (mayComeBack) {
-    const bool isNew = m_lapsed.emplace(aId, m_graceUntil).second;
-    return isNew ? std::vector{ Notice(entry, EntryChange::Lapsed) }
-                 : std::vector<EntryNotice>{};
+  const bool mayBeRenewed =
+    MayHaveExpired(aNow) && entry.usable && !entry.draining;
+  if (mayBeRenewed) {
+    const bool newlyExpired = m_expired.emplace(aId, m_gracePeriodEnd).second;
+    return newlyExpired ? std::vector{ MakeNotice(entry, EntryChange::Lapsed) }
+                        : std::vector<EntryNotice>{};
   }
   m_entries.erase(found);
-  m_lapsed.erase(aId);
-  return { Notice(entry, EntryChange::Gone) };
+  m_expired.erase(aId);
+  return { MakeNotice(entry, EntryChange::Gone) };
 }
 
 std::vector<EntryNotice>
@@ -139,14 +140,14 @@
 UpstreamList::Tick(TimePoint aNow)
 {
   std::vector<EntryNotice> notices;
-  for (auto it = m_lapsed.begin(); it != m_lapsed.end();) {
+  for (auto it = m_expired.begin(); it != m_expired.end();) {
     if (aNow < it->second) {
       ++it;
       continue;
     }
     const auto entry = m_entries.extract(it->first);
-    notices.push_back(Notice(entry.mapped(), EntryChange::Gone));
-    it = m_lapsed.erase(it);
+    notices.push_back(MakeNotice(entry.mapped(), EntryChange::Gone));
+    it = m_expired.erase(it);
   }
   return notices;
 }
--- a/src/fleet/loadsum.h
+++ b/src/fleet/loadsum.h
@@ -15,8 +15,8 @@
   //! Adds a report. aAsOf is the time, by this router's clock, at which the
   //! report's loads were current.
   void Add(const PeerReport& aReport, TimePoint aAsOf);
-  //! Subtracts a report that is contained in a sum added before. No value goes
-  //! below zero.
+  //! Subtracts a report that is contained in a sum added before. Counts
+  //! and rates don't go below zero.
   void TakeOut(const PeerReport& aReport);
   //! Replaces the loads, rates and router counts of aReport by those of this
   //! sum, and sets the age of the loads at aNow.
--- a/src/fleet/news.h
+++ b/src/fleet/news.h
@@ -10,36 +10,41 @@
 
 namespace hemlockgauge::fleet {
 
-//! What a router asks of another about the platform's store.
+//! Request of one router to another for what changed in the platform's store.
 struct NewsAsk
 {
-  std::uint64_t life = 0;     //!< of the news that the asker has; 0: none
-  std::uint64_t sequence = 0; //!< up to here
-  std::uint64_t configVersion = 0;
-  //! Of the upstreams that the asker knows, see NewsLog; 0: not told.
+  //! Incarnation of the router that the requester's state is from; 0: none.
+  std::uint64_t life = 0;
+  //! Number of the last change that the requester knows of that incarnation.
+  std::uint64_t sequence = 0;
+  std::uint64_t configVersion = 0; //!< that the requester has; 0: none
+  //! Digest of the upstream list that the requester has, see NewsLog::Digest;
+  //! 0: not given.
   std::uint64_t digest = 0;
 };
 
+//! Whether an answer holds data, and whether the store has confirmed it.
 enum class NewsState : std::uint8_t
 {
-  Proven,
-  Unproven, //!< the proof follows with the answer to the next question
-  Pending   //!< nothing yet: the router is reading the store
+  Proven,   //!< the store confirmed the data proofAge ago
+  Unproven, //!< the upstream list alone; the answer to the next request
+            //!< confirms it
+  Pending   //!< no data yet; the list is still being read or queued to be sent
 };
 
-//! What has changed in the store, as the router asked knows it.
+//! Answer to a NewsAsk: the changes of the store since the requester's state.
 struct News
 {
   NewsState state = NewsState::Proven;
-  std::uint64_t life = 0; //!< of the router that answers
-  std::uint64_t sequence = 0;
-  bool full = false;   //!< upstreams are all that there are
-  Duration proofAge{}; //!< since the store proved all this
-  Duration waited{};   //!< from the question to this answer
+  std::uint64_t life = 0;     //!< incarnation of the router that answers
+  std::uint64_t sequence = 0; //!< last change that the answer includes
+  bool full = false;   //!< upstreams is the whole list, not the changes alone
+  Duration proofAge{}; //!< time since the store confirmed this state
+  Duration waited{};   //!< time from the request to this answer
   std::string config;  //!< as the store holds it; empty: nothing newer
   std::vector<UpstreamEntry> upstreams;
-  std::vector<std::string> removed;
-  //! All that are in force; nothing: not told.
+  std::vector<std::string> removed; //!< ids of upstreams that were removed
+  //! All evacuations in force; without a value: not included in this answer.
   std::optional<std::vector<Evacuation>> evacuations;
 };
 
--- a/src/fleet/newslog.h
+++ b/src/fleet/newslog.h
@@ -9,45 +9,53 @@
 
 namespace hemlockgauge::fleet {
 
-//! What this router believes of the store, in a form that other routers can
-//! follow: each change has a number, and whoever missed too many gets all.
+//! This router's copy of the store's contents and a log of its changes, from
+//! which other routers are kept up to date. Each change has a sequence number.
+//! A requester that missed more changes than the log holds gets the whole list.
 class NewsLog
 {
 public:
+  //! aLife is the incarnation of this router.
   explicit NewsLog(std::uint64_t aLife);
 
+  //! Stores the configuration if aVersion is newer than the stored one.
   void SetConfig(std::uint64_t aVersion, const std::string& aBytes);
-  //! Notes what differs from the last call.
+  //! Replaces the list and logs each entry that differs from the last call.
   void SetUpstreams(const std::map<std::string, UpstreamEntry>& aEntries);
-  //! All that are in force.
+  //! Replaces the evacuations; aAll holds all that are in force.
   void SetEvacuations(const std::vector<Evacuation>& aAll);
 
-  //! Whether the store was listed: who has just started and was told nothing
-  //! must not be taken for an empty store.
+  //! Whether the upstream list was set. Distinguishes a router that has just
+  //! started and knows nothing yet from an empty store.
   bool IsKnown() const { return m_hasUpstreams; }
+  //! Whether there is anything that the requester doesn't have.
   bool HasNews(const NewsAsk& aAsk) const;
-  //! Whether the asker needs the whole list of upstreams. One that comes from
-  //! another source mostly has the same list already.
+  //! Whether the requester needs the whole upstream list: the log doesn't
+  //! reach back to its state, and its digest differs. A requester that changes
+  //! its source usually has the same list already.
   bool WantsAll(const NewsAsk& aAsk) const;
-  //! The same at all routers with the same list; 0: there is none yet.
+  //! Digest of the upstream list, equal at all routers that have the same list.
+  //! 0: the list is not known yet.
   std::uint64_t Digest() const;
-  //! Rises with each change.
+  //! Number of the last change.
   std::uint64_t Sequence() const { return m_sequence; }
-  //! The whole list alone, the same for whoever asks.
+  //! Returns the whole upstream list as an unproven answer that doesn't depend
+  //! on the requester.
   News All() const;
-  //! aProofAge: since the store proved what is told.
+  //! Answers aAsk. aProofAge is the time since the store confirmed the state
+  //! of this log.
   News Answer(const NewsAsk& aAsk, Duration aProofAge) const;
 
 private:
   struct Change
   {
     std::uint64_t sequence = 0;
-    std::string id; //!< empty: of the evacuations
+    std::string id; //!< of the upstream; empty: the evacuations changed
   };
 
-  bool KnowsSince(const NewsAsk& aAsk) const;
-  void Note(const std::string& aId);
-  std::vector<UpstreamEntry> Listed() const;
+  bool CoversSince(const NewsAsk& aAsk) const;
+  void LogChange(const std::string& aId);
+  std::vector<UpstreamEntry> AllEntries() const;
 
   std::uint64_t m_life;
   std::uint64_t m_sequence = 1;
@@ -57,7 +65,7 @@
   std::map<std::string, UpstreamEntry> m_upstreams;
   std::vector<Evacuation> m_evacuations;
   std::deque<Change> m_changes;
-  mutable std::uint64_t m_digest = 0; //!< 0: not worked out since a change
+  mutable std::uint64_t m_digest = 0; //!< cached; 0: to be computed
 };
 
 }
--- a/src/fleet/peerreport.h
+++ b/src/fleet/peerreport.h
@@ -12,15 +12,15 @@
 
 namespace hemlockgauge::fleet {
 
-//! What is in progress at an upstream.
+//! Requests in progress at one upstream.
 struct UpstreamLoad
 {
   UpstreamId upstream{};
-  std::uint32_t unreadTokens = 0; //!< of prompts whose first token is due
-  std::uint32_t running = 0;      //!< requests without their last byte
+  std::uint32_t unreadTokens = 0; //!< prompt tokens that are not processed yet
+  std::uint32_t running = 0;      //!< requests whose response is incomplete
 };
 
-//! A prompt's part that was sent to an upstream lately.
+//! A part of a prompt that was recently sent to an upstream.
 struct PrefixUse
 {
   std::uint64_t part = 0;
@@ -33,81 +33,85 @@
   }
 };
 
+//! Call rate of a plain service.
 struct ServiceReport
 {
   ServiceId service{};
   CallRate rate;
 };
 
+//! Request rates of a workspace.
 struct WorkspaceReport
 {
   WorkspaceId workspace{};
   WorkspaceRate rate;
 };
 
-//! The last report that was heard from a router. The clock value lets it
-//! bound the age of what it is told; the sequence lets it take its own part
-//! out of a sum.
+//! Acknowledges the last report that the sender received from a router. That
+//! router uses sentAt to bound the age of what the sender reports, and sequence
+//! to subtract its own part from a sum.
 struct HeardRouter
 {
   base::RouterId router{};
   std::uint64_t sequence = 0;
-  TimePoint sentAt{}; //!< by the clock of that router
+  TimePoint sentAt{}; //!< of that report, by the clock of that router
 };
 
-//! A router as others know it.
+//! Entry of the member list that routers exchange.
 struct KnownMember
 {
-  base::Address address;  //!< for reports
+  base::Address address;  //!< that accepts reports
   std::uint32_t zone = 0; //!< hash of its availability zone's name
-  Duration age{};         //!< since it was heard by someone
+  Duration age{};         //!< time since any router heard it directly
 };
 
-//! Whose loads and rates a report holds.
+//! The routers that a report's loads and rates cover.
 enum class ReportScope : std::uint8_t
 {
-  Router, //!< the sender's own
-  Group,  //!< the sum of the sender's group
-  Fleet,  //!< the sum of all
-  Zone    //!< the sum of the sender's availability zone
+  Router, //!< the sender alone
+  Group,  //!< sum of the sender's group
+  Fleet,  //!< sum of all routers
+  Zone    //!< sum of the sender's availability zone
 };
 
 inline constexpr auto kReportScopeNames =
   base::MakeEnumNames<ReportScope>("router", "group", "fleet", "zone");
 
-//! What routers tell each other, each kReportPeriod. It may get lost; the
-//! next one says it anew.
+//! Datagram that routers send to each other every kReportPeriod. A lost report
+//! is not sent again, since the next one holds newer values.
 struct PeerReport
 {
-  std::string router;
-  std::uint64_t life = 0; //!< higher at each start of the router
-  std::uint64_t sequence = 0;
-  TimePoint sentAt{}; //!< by the sender's clock, to be sent back only
+  std::string router;     //!< name of the sender
+  std::uint64_t life = 0; //!< incarnation: higher at each start of the router
+  std::uint64_t sequence = 0; //!< number of the report within the incarnation
+  TimePoint sentAt{};         //!< by the sender's clock; others only echo it
   ReportScope scope = ReportScope::Router;
-  std::uint32_t zone = 0;    //!< hash of the sender's availability zone
-  std::uint64_t group = 0;   //!< the sender's group
-  std::uint32_t routers = 1; //!< how many it sums up
-  std::uint32_t busy = 0;    //!< how many of them have no rest
-  double reading = 0;        //!< tokens a second to be read for what was begun
-  Duration loadAge{};        //!< of the loads in it, in the mean
+  std::uint32_t zone = 0;    //!< hash of the name of the sender's zone
+  std::uint64_t group = 0;   //!< id of the sender's group
+  std::uint32_t routers = 1; //!< number of routers that the report covers
+  std::uint32_t busy = 0;    //!< how many of them are busy, see kBusyAfter
+  double reading = 0; //!< prompt tokens/s to process for admitted requests
+  Duration loadAge{}; //!< mean age of the loads
   std::uint64_t configVersion = 0;
-  Duration configAge{}; //!< since the version was proven the newest
-  //! The freshest reader of the store that the sender knows of, and since when
-  //! what that one tells is proven; port 0: none.
+  Duration configAge{}; //!< time since it was confirmed to be the newest
+  //! The reader of the store with the newest proof that the sender knows of,
+  //! and the age of that proof. Port 0: none.
   base::Address reader;
   Duration readerAge{};
-  //! See StoreEra; 0: none began lately.
+  //! The store's era if it began recently, else 0. See StoreEra.
   std::uint64_t storeEra = 0;
   Duration storeEraAge{};
-  bool relayed = false; //!< passed on within a zone, not sent by its router
-  bool wantsMembers = false; //!< the sender knows hardly anyone
+  bool relayed = false; //!< forwarded within a zone, not sent by its author
+  //! The sender knows few or no members and asks for the member list.
+  bool wantsMembers = false;
+  //! The last report of each router that the sender receives reports from.
   std::vector<HeardRouter> heard;
   std::vector<UpstreamLoad> loads;
   std::vector<WorkspaceReport> rates;
   std::vector<ServiceReport> calls;
   std::vector<PrefixUse> uses;
   quarantine::CrashNews crashNews;
-  std::vector<KnownMember> members; //!< now and then
+  std::vector<KnownMember> members; //!< empty in most reports
 };
 
 }
--- a/src/fleet/peerview.h
+++ b/src/fleet/peerview.h
@@ -11,19 +11,21 @@
 
 namespace hemlockgauge::fleet {
 
-//! What the other routers have in progress and ask, from their reports.
+//! Loads and request rates of the other routers, as their reports state them.
 class PeerView
 {
 public:
-  //! aIsHub: this router hears the others of its group itself, and the sums
-  //! of its zone's other groups and of the other zones. Otherwise it hears the
-  //! sum of all from its hubs.
+  //! Sets which reports count. A hub adds up the reports of the routers of its
+  //! group aGroup, the sums of the zone's other groups and those of the other
+  //! zones. Any other router uses the fleet sum that its hubs send.
   void SetRole(bool aIsHub, std::uint64_t aGroup);
-  //! Returns false for one that is older than what is known.
+  //! Stores a report. Returns false if it is no newer than the known one, or is
+  //! not for this router's role.
   bool Take(const PeerReport& aReport, TimePoint aNow);
-  //! What this router itself told, to be taken out of sums again.
+  //! Keeps a report that this router sent, to subtract it from sums that
+  //! contain it.
   void Sent(const PeerReport& aOwn);
-  //! Drops what is too old to count.
+  //! Removes reports older than kReportKept.
   void Forget(TimePoint aNow);
 
   UpstreamLoad LoadOf(UpstreamId aUpstream) const
@@ -31,15 +33,16 @@
     return m_sum.LoadOf(aUpstream);
   }
   const WorkspaceRates& Rates() const { return m_sum.Rates(); }
-  //! Of plain services, by the others.
+  //! Call rates of plain services.
   const CallRates& Calls() const { return m_sum.Calls(); }
-  //! Tokens a second that have to be read for what the others began.
+  //! Prompt tokens per second that upstreams have to process for the requests
+  //! that the other routers admitted.
   double Reading() const { return m_sum.Reading(); }
-  //! How many routers the view covers, without this one.
+  //! Number of routers that the view covers, without this one.
   std::size_t Routers() const { return m_sum.Routers(); }
-  //! How many of them have no rest.
+  //! Number of these routers that are busy, see PeerReport::busy.
   std::size_t Busy() const { return m_sum.Busy(); }
-  //! Routers heard directly, with the last report of each.
+  //! The last report of each router that reports to this one directly.
   std::vector<HeardRouter> Heard() const;
   //! The sum over this router's group, itself included.
   PeerReport GroupSum(const PeerReport& aOwn, TimePoint aNow) const;
@@ -47,41 +50,51 @@
   PeerReport ZoneSum(const PeerReport& aOwn, TimePoint aNow) const;
   //! The sum over the fleet, this router included.
   PeerReport FleetSum(const PeerReport& aOwn, TimePoint aNow);
-  //! How old what is known of the others' loads is, in the mean.
+  //! Mean age of the known loads of the other routers.
   Duration NewsAge(TimePoint aNow) const;
-  //! Age of the oldest report that counts.
+  //! Time since the arrival of the oldest report in use.
   Duration Age(TimePoint aNow) const;
 
 private:
-  struct Told
+  struct ReceivedReport
   {
     PeerReport report;
-    TimePoint at{};
+    TimePoint receivedAt{}; //!< when it arrived
 
-    TimePoint AsOf() const { return at - report.loadAge; }
+    //! When its loads were current.
+    TimePoint AsOf() const { return receivedAt - report.loadAge; }
   };
 
   template<typename Table>
-  static std::vector<HeardRouter> HeardOf(const Table& aTable);
+  static std::vector<HeardRouter> LastReportsOf(const Table& aTable);
 
-  static PeerReport SumOf(const LoadSum& aAll,
-                          const PeerReport& aOwn,
-                          ReportScope aScope,
-                          TimePoint aNow);
-  LoadSum SumOfGroup(const PeerReport& aOwn) const;
-  void Sum();
-  void SumSoon();
-  const PeerReport* OwnPartOf(const PeerReport& aSum) const;
+  static PeerReport MakeSum(const LoadSum& aAll,
+                            const PeerReport& aOwn,
+                            ReportScope aScope,
+                            TimePoint aNow);
+  LoadSum AddUpGroup(const PeerReport& aOwn) const;
+  //! Computes m_sum.
+  void Recompute();
+  //! Computes m_sum now if that is cheap, else with the next Forget()
+  //! or FleetSum().
+  void RecomputeIfCheap();
+  //! Returns the report of this router that aSum contains, or null.
+  const PeerReport* FindOwnReportIn(const PeerReport& aSum) const;
 
   bool m_isHub = true;
   std::uint64_t m_group = 0;
-  std::map<std::string, Told> m_told;     //!< by router
-  std::map<std::uint64_t, Told> m_groups; //!< sums of the zone's other groups
-  std::map<std::uint32_t, Told> m_zones;  //!< sums of other zones
-  std::map<std::string, Told> m_fleet;    //!< sums of all, by hub
-  std::deque<PeerReport> m_own;           //!< what was told lately
+  //! Reports of single routers, by router name.
+  std::map<std::string, ReceivedReport> m_routerReports;
+  //! Sums of the zone's other groups, by group.
+  std::map<std::uint64_t, ReceivedReport> m_groupSums;
+  //! Sums of other zones, by zone.
+  std::map<std::uint32_t, ReceivedReport> m_zoneSums;
+  //! Fleet sums, by the name of the hub that sent them.
+  std::map<std::string, ReceivedReport> m_fleetSums;
+  //! The last reports that this router sent itself.
+  std::deque<PeerReport> m_sentReports;
   LoadSum m_sum;
-  bool m_stale = false; //!< m_sum lacks what came last
+  bool m_stale = false; //!< m_sum lacks the last reports
 };
 
 }
--- a/src/fleet/sourceoptions.h
+++ b/src/fleet/sourceoptions.h
@@ -8,33 +8,36 @@
 
 namespace hemlockgauge::fleet {
 
-//! What decides where a router may learn of the store. All addresses are
-//! those for reports.
+//! Input of MakeSourceOptions. All addresses are those that routers accept
+//! reports at.
 struct SourceView
 {
   base::Address self;
-  std::uint32_t hash = 0;           //!< spreads routers over equal sources
+  std::uint32_t hash = 0; //!< distributes routers over equivalent sources
   std::vector<base::Address> seeds; //!< without this router
   bool isSeed = false;
-  Duration sinceStart{};
-  Duration seedWait = Duration(0); //!< until a start turns to the store
-  //! Since all that this router knows of the store was last proven.
+  Duration sinceStart{}; //!< time since this router started
+  //! How long a starting router waits for a seed before it reads the store.
+  Duration seedWait = Duration(0);
+  //! Time since the store last confirmed this router's data.
   Duration proofAge{};
-  //! The freshest reader that others tell of, if its proof is newer than this
-  //! router's own by kProofBetter.
+  //! The reader of the store with the newest proof in the reports of others, if
+  //! that proof is newer than this router's own by at least kProofBetter.
   std::optional<base::Address> knownReader;
 };
 
-//! The freshest reader of the store that a router knows of. All tell it in
-//! their reports, so that whoever's source is cut off finds one that is not
-//! without asking around.
+//! The reader of the store with the newest proof that this router knows of. All
+//! routers include it in their reports, so that a router whose source is cut
+//! off from the store finds another one without trying all of them.
 class KnownReader
 {
 public:
+  //! Keeps aReader if its proof is newer than that of the kept reader.
   void Learn(const base::Address& aReader, TimePoint aProvenAt);
-  //! Nothing if none was proven within kSourceStale.
+  //! Returns the reader, or no value if its proof is older than kSourceStale.
   std::optional<base::Address> Best(TimePoint aNow) const;
-  //! The same, if that is newer than aOwn by kProofBetter.
+  //! Like Best(), but only if the proof is newer than aOwn by at least
+  //! kProofBetter.
   std::optional<base::Address> Better(TimePoint aOwn, TimePoint aNow) const;
   Duration ProofAge(TimePoint aNow) const { return aNow - m_provenAt; }
 
@@ -43,14 +46,16 @@
   TimePoint m_provenAt{ TimePoint::min() / 2 };
 };
 
-//! Where this router learns of the store, the best first.
+//! Returns the sources from which this router may get the contents of the
+//! store, the best one first.
 //!
-//! The store counts each call. In a small fleet every router reads it. In a
-//! large one kStoreReaders do; hubs follow these, the others follow their hubs.
-//! Whoever starts knows no one but the seeds and asks them, so that a fleet
-//! which starts at once does not list the store once a router. If the readers
-//! are cut off from the store the others turn to it one after another, by
-//! their order and the age of their proof, which needs no message.
+//! Each call to the store has a cost. In a small fleet, every router reads the
+//! store. In a large one, kStoreReaders routers do; hubs get their data from
+//! these, and all other routers from the hubs of their group. A starting router
+//! knows only the seeds and asks one of them, so that the store isn't listed
+//! once per router when the whole fleet starts. If all readers are cut off from
+//! the store, the other routers turn to it one after another, by their rank and
+//! the age of their proof. This needs no messages between them.
 SourceOptions
 MakeSourceOptions(const SourceView& aView, const ExchangePlan& aPlan);
 
--- a/src/fleet/sourcepolicy.h
+++ b/src/fleet/sourcepolicy.h
@@ -8,74 +8,93 @@
 
 namespace hemlockgauge::fleet {
 
+//! Kind of the source from which a router gets the contents of the store.
 enum class SourceKind : std::uint8_t
 {
   Store, //!< the platform's store itself
-  Router //!< another router's news of it
+  Router //!< another router, which passes on its copy
 };
 inline constexpr auto kSourceKindNames =
   base::MakeEnumNames<SourceKind>("store", "router");
 
-//! Where a router learns what the store holds.
+//! A source from which a router gets the contents of the platform's store.
 struct NewsSource
 {
   SourceKind kind = SourceKind::Store;
-  base::Address address; //!< of the router
+  base::Address address; //!< of the router; unused for the store
 
   bool operator==(const NewsSource&) const = default;
 };
 
-//! The sources that a router may have now.
+//! The sources that a router may use at present.
 struct SourceOptions
 {
-  std::vector<NewsSource> order{ NewsSource{} }; //!< never empty
-  //! No router proves what it tells: this one turns to the store itself.
+  //! Sources in order of preference; never empty.
+  std::vector<NewsSource> order{ NewsSource{} };
+  //! No other router has a recent proof, and it is this router's turn to read
+  //! the store itself.
   bool takesOver = false;
-  //! The source that is known to have a newer proof, by its place in the order.
+  //! Index in order of the source that is known to have a newer proof.
   std::optional<std::size_t> known;
-  //! How long a source has for its first answer; nothing: as for any other.
+  //! Timeout for the first answer of a router, instead of kRouterSilent.
+  //! Without a value, kRouterSilent applies.
   std::optional<Duration> patience;
 };
 
-//! Chooses where to learn from. Whoever is cut off from its source goes on to
-//! the next, and returns to the first later; whoever takes over reads the
-//! store for a while, whatever the order is.
+//! Selects the source from which this router gets the contents of the store. If
+//! the current source fails, the policy moves on to the next one, and returns
+//! to the first after kSourceRetry. A router that takes over reads the store
+//! for a while whatever the order of the sources is.
 class SourcePolicy
 {
 public:
   SourcePolicy();
 
+  //! Sets the permitted sources. Changes the current source if it isn't among
+  //! them or is no longer the preferred one.
   void SetOptions(const SourceOptions& aOptions, TimePoint aNow);
-  //! The source answered; what it told was proven aProofAge ago.
+  //! Records an answer of the current source with data that the store confirmed
+  //! aProofAge ago.
   void Answered(Duration aProofAge, TimePoint aNow);
-  //! The source is there, and its first answer is on the way.
+  //! Records that the current source is reachable and its first answer is still
+  //! to come.
   void Pending(TimePoint aNow);
-  //! Returns true if the source has changed.
+  //! Checks timeouts and proof ages. Returns true if the source has changed.
   bool Tick(TimePoint aNow);
   const NewsSource& Current() const { return m_current; }
+  //! Whether the current source is the first in the order and was not selected
+  //! by a takeover.
   bool IsPreferred() const { return !m_hasTakenOver && m_index == 0; }
 
 private:
-  void Use(std::size_t aIndex, TimePoint aNow);
+  void SelectSource(std::size_t aIndex, TimePoint aNow);
   void TakeOver(TimePoint aNow);
-  void Begin(const NewsSource& aSource, TimePoint aNow);
-  void Move(TimePoint aNow);
+  void StartUsing(const NewsSource& aSource, TimePoint aNow);
+  void MoveOn(TimePoint aNow);
+  //! Whether the current source has not answered within its timeout.
   bool IsSilent(TimePoint aNow) const;
+  //! Whether the last proof of the current source is older than kSourceStale.
   bool IsStale(TimePoint aNow) const;
+  //! Whether to change to the source that is known to have a newer proof.
   bool IsBehindKnown(TimePoint aNow) const;
 
   SourceOptions m_options;
-  bool m_hasBegun = false;
+  bool m_hasStarted = false;
   NewsSource m_current;
   std::size_t m_index = 0;
-  bool m_hasTakenOver = false; //!< reads the store for all
-  bool m_readWell = false;     //!< the store answered when it did so last
-  TimePoint m_mayTakeOverAt{}; //!< not again at once where it failed
-  TimePoint m_usedSince{};
-  TimePoint m_answeredAt{};
-  bool m_isPending = false;           //!< has said so
-  std::optional<Duration> m_proofAge; //!< nothing: has not answered yet
-  Duration m_dwell;
+  bool m_hasTakenOver = false; //!< reads the store out of order
+  //! Whether the store gave a recent proof after the last takeover.
+  bool m_takeoverSucceeded = false;
+  TimePoint m_mayTakeOverAt{}; //!< end of the backoff after a failed takeover
+  TimePoint m_selectedAt{};    //!< when the current source was selected
+  TimePoint m_answeredAt{};    //!< last sign of the source, or m_selectedAt
+  bool m_isPending = false;    //!< the source said that an answer is to come
+  //! Proof age in the last answer; no value before the first one.
+  std::optional<Duration> m_proofAge;
+  //! Minimum time to keep a source whose proof is too old. Doubles with each
+  //! move to another source up to kSourceDwellMost, and is reset by a recent
+  //! proof.
+  Duration m_minDwell;
 };
 
 }
--- a/src/fleet/storeera.h
+++ b/src/fleet/storeera.h
@@ -7,27 +7,32 @@
 
 namespace hemlockgauge::fleet {
 
-//! Whether what the platform's store answers is what it acknowledged last. A
-//! store that comes back from a copy, in a new era, has lost its last writes
-//! until they are written again; revisions of the era before say nothing.
+//! Tracks the era of the platform's store, which increases when the store is
+//! restored from an older copy. A restored store lacks its most recent writes
+//! until their writers repeat them, and revisions of an earlier era can't be
+//! compared with those of the new one.
 class StoreEra
 {
 public:
-  //! An answer of the store. False: it is of an earlier era than the known one.
+  //! Takes the era of an answer of the store. Returns false if it is earlier
+  //! than the known era.
   bool Seen(std::uint64_t aEra, TimePoint aNow);
-  //! What another router tells: aAge since it saw the era begin.
+  //! Takes the era that another router saw begin aAge ago.
   void Told(std::uint64_t aEra, Duration aAge, TimePoint aNow);
 
+  //! The known era, or 0.
   std::uint64_t Era() const { return m_era.value_or(0); }
-  //! When what was lost has been written again.
+  //! Time at which lost writes have been repeated: kRewriteGrace after the
+  //! start of the era.
   TimePoint SettledAt() const;
   bool IsSettled(TimePoint aNow) const { return aNow >= SettledAt(); }
-  //! Since the era was seen to begin; nothing if it wasn't seen lately.
+  //! Time since the era was seen to begin. No value if that was more than
+  //! kEraTold ago, or before this router started.
   std::optional<Duration> Age(TimePoint aNow) const;
 
 private:
   std::optional<std::uint64_t> m_era;
-  std::optional<TimePoint> m_beganAt; //!< nothing: before this router started
+  std::optional<TimePoint> m_beganAt; //!< no value: before this router started
 };
 
 }
--- a/src/fleet/upstreamlist.h
+++ b/src/fleet/upstreamlist.h
@@ -9,16 +9,16 @@
 
 namespace hemlockgauge::fleet {
 
-//! What became of an upstream's entry.
+//! Change of an upstream's entry in the store's list.
 enum class EntryChange : std::uint8_t
 {
-  Listed,
-  Draining,
-  Lapsed, //!< missing after the store was away; may come back
-  Gone,
+  Listed,    //!< added, or usable again
+  Draining,  //!< gets no new work
+  Lapsed,    //!< expired during an outage of the store; may be renewed
+  Gone,      //!< removed
   Restarted, //!< a later incarnation under the same id
-  Outdated,  //!< of an earlier incarnation than the known one; not taken
-  Unusable   //!< the entry names no upstream any more
+  Outdated,  //!< of an earlier incarnation than the known one; ignored
+  Unusable   //!< invalid; nothing is sent to the upstream
 };
 inline constexpr auto kEntryChangeNames =
   base::MakeEnumNames<EntryChange>("listed",
@@ -29,59 +29,67 @@
                                    "outdated",
                                    "unusable");
 
+//! Reports one change of an entry.
 struct EntryNotice
 {
   std::string id;
   EntryChange change = EntryChange::Listed;
-  UpstreamId upstream{}; //!< the incarnation that the change befell
+  UpstreamId upstream{}; //!< the incarnation that changed
 };
 
-//! The upstreams that the platform's store lists, and those that may come
-//! back to it. An upstream that cannot renew its entry while the store is
-//! away lapses though it serves; so what is found missing when the store
-//! comes back is kept for kLapseGrace. What goes later, or is draining, gets
-//! no new work at once.
+//! The upstreams that the platform's store lists. While the store is
+//! unreachable, upstreams can't renew their entries, so that entries expire
+//! although their upstreams serve. Entries that are missing when the store is
+//! reachable again are therefore kept for kLapseGrace. Entries that are removed
+//! later, or of upstreams that are draining, get no new work at once.
 class UpstreamList
 {
 public:
-  //! aLapseAfter: how long the store must have been away for entries to
-  //! lapse in it.
-  void Configure(Duration aLapseAfter) { m_lapseAfter = aLapseAfter; }
+  //! aLapseAfter is the time to live of entries in the store: after an outage
+  //! of at least this length, missing entries may have expired.
+  void Configure(Duration aLapseAfter) { m_entryTtl = aLapseAfter; }
 
+  //! Records that the store is unreachable since aNow.
   void StoreLost(TimePoint aNow);
-  //! The store was there at aAt, whether this router reached it or another
-  //! one that it learns from.
+  //! Records that this router, or the router that it gets its data from,
+  //! reached the store at aAt.
   void StoreReached(TimePoint aAt);
 
+  //! Adds or updates one entry.
   std::vector<EntryNotice> Put(const UpstreamEntry& aEntry);
+  //! Removes an entry, or keeps it for a grace period if it may have expired.
   std::vector<EntryNotice> Remove(const std::string& aId, TimePoint aNow);
-  //! All that the store lists now.
+  //! Replaces all entries by those that the store lists now.
   std::vector<EntryNotice> Replace(const std::vector<UpstreamEntry>& aEntries,
                                    TimePoint aNow);
-  //! Drops what did not come back in time.
+  //! Removes expired entries that were not renewed within the grace period.
   std::vector<EntryNotice> Tick(TimePoint aNow);
 
-  //! All that are known, also those that may get no work.
+  //! All known entries, including unusable and draining ones.
   const std::map<std::string, UpstreamEntry>& Entries() const
   {
     return m_entries;
   }
+  //! Whether the upstream may get new requests.
   bool MayGetWork(const std::string& aId) const;
+  //! Whether the whole list was received at least once.
   bool IsKnown() const { return m_known; }
 
 private:
-  bool MayHaveLapsed(TimePoint aNow) const { return aNow < m_lapsesUntil; }
+  bool MayHaveExpired(TimePoint aNow) const { return aNow < m_expiryWindowEnd; }
   std::vector<EntryNotice> Add(const UpstreamEntry& aEntry);
   std::vector<EntryNotice> Update(UpstreamEntry& aKnown,
                                   const UpstreamEntry& aEntry);
 
-  Duration m_lapseAfter{ 2400 };
+  Duration m_entryTtl{ 2400 };
   bool m_known = false;
-  std::optional<TimePoint> m_lostAt;
-  TimePoint m_lapsesUntil{ TimePoint::min() }; //!< what goes may be a lapse
-  TimePoint m_graceUntil{ TimePoint::min() };
+  std::optional<TimePoint> m_storeLostAt;
+  //! Until then, a missing entry may have expired during an outage.
+  TimePoint m_expiryWindowEnd{ TimePoint::min() };
+  TimePoint m_gracePeriodEnd{ TimePoint::min() };
   std::map<std::string, UpstreamEntry> m_entries;
-  std::map<std::string, TimePoint> m_lapsed; //!< by id: dropped when past
+  //! Expired entries, by id, with the end of their grace period.
+  std::map<std::string, TimePoint> m_expired;
 };
 
 }
