--- a/src/quarantine/crashchecks.h
+++ b/src/quarantine/crashchecks.h
@@ -9,25 +9,28 @@
 namespace hemlockgauge::quarantine {
 
 //! Requests whose connection broke while an upstream ran them, by upstream,
-//! until a look there has told whether it crashed: a connection also breaks
-//! for reasons that say nothing of the upstream or of the request.
+//! until a check has shown whether the upstream crashed. Connections also break
+//! for reasons that have nothing to do with the upstream or the request.
 class CrashChecks
 {
 public:
+  //! Records that the connection of aRequest to aUpstream broke.
   void Broke(UpstreamId aUpstream, RequestFingerprint aRequest, TimePoint aNow);
-  //! Upstreams to look at now, each named once for what broke there so far.
+  //! Returns the upstreams to check now: those whose first connection broke
+  //! kCrashCheckDelay ago. Each is returned once until Take() ends its check.
   std::vector<UpstreamId> TakeDue(TimePoint aNow);
-  //! What waited for the result of that look; it no longer does.
+  //! Ends the check of an upstream. Returns the requests that waited for its
+  //! result.
   std::vector<RequestFingerprint> Take(UpstreamId aUpstream);
-  //! Upstreams under which the request broke, of those not looked at yet.
+  //! Number of upstreams with an unfinished check that aRequest waits for.
   std::size_t Waiting(RequestFingerprint aRequest) const;
 
 private:
   struct Check
   {
     TimePoint firstBreakAt{};
-    bool taken = false;
-    std::vector<RequestFingerprint> broken;
+    bool isStarted = false;
+    std::vector<RequestFingerprint> requests;
   };
 
   std::map<UpstreamId, Check> m_checks;
--- a/src/quarantine/internal/crashchecks.cpp
+++ b/src/quarantine/internal/crashchecks.cpp
@@ -16,7 +16,7 @@
   if (isNew) {
     check.firstBreakAt = aNow;
   }
-  check.broken.push_back(aRequest);
+  check.requests.push_back(aRequest);
 }
 
 std::vector<UpstreamId>
@@ -24,8 +24,8 @@
 {
   std::vector<UpstreamId> due;
   for (auto& [upstream, check] : m_checks) {
-    if (!check.taken && aNow - check.firstBreakAt >= kCrashCheckDelay) {
-      check.taken = true;
+    if (!check.isStarted && aNow - check.firstBreakAt >= kCrashCheckDelay) {
+      check.isStarted = true;
       due.push_back(upstream);
     }
   }
@@ -39,9 +39,9 @@
   if (found == m_checks.end()) {
     return {};
   }
-  auto broken = std::move(found->second.broken);
+  auto requests = std::move(found->second.requests);
   m_checks.erase(found);
-  return broken;
+  return requests;
 }
 
 std::size_t
@@ -49,8 +49,9 @@
 {
   return static_cast<std::size_t>(
     std::count_if(m_checks.begin(), m_checks.end(), [&](const auto& aEntry) {
-      const auto& broken = aEntry.second.broken;
-      return std::find(broken.begin(), broken.end(), aRequest) != broken.end();
+      const auto& requests = aEntry.second.requests;
+      return std::find(requests.begin(), requests.end(), aRequest) !=
+             requests.end();
     }));
 }
 
--- a/src/quarantine/internal/quarantine.cpp
+++ b/src/quarantine/internal/quarantine.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-//! Notices that nobody took; more are not kept.
-constexpr std::size_t kMostNotices = 256;
+//! Maximum number of pending notices. Further ones are dropped.
+constexpr std::size_t kMaxNotices = 256;
 
 }
 
 TimePoint
-Quarantine::Record::Newest() const
+Quarantine::Record::LastEventAt() const
 {
-  TimePoint newest = clearedAt.value_or(TimePoint::min());
+  TimePoint lastEventAt = clearedAt.value_or(TimePoint::min());
   for (const auto& crash : crashes) {
-    newest = std::max(newest, crash.at);
+    lastEventAt = std::max(lastEventAt, crash.at);
   }
-  return newest;
+  return lastEventAt;
 }
 
 void
@@ -32,8 +32,8 @@
   Add(aRequest, { aUpstream, aNow }, aNow);
 }
 
-//! The same crash is told by many, with ages that lack the time on their way:
-//! the oldest is the nearest.
+//! Several routers report the same crash. Reported ages lack the transmission
+//! time, so that the earliest of the resulting times is the most accurate.
 void
 Quarantine::Add(RequestFingerprint aRequest,
                 const Crash& aCrash,
@@ -46,42 +46,45 @@
   }
   auto& record = m_records[aRequest];
   if (record.clearedAt && aCrash.at <= *record.clearedAt + kSoundFor) {
-    record.toTell = kTimesTold; // whoever told the crash may not know
+    // The router that reported the crash may not know that it is cleared.
+    record.pendingReports = kTimesTold;
     return;
   }
   auto& crashes = record.crashes;
   const auto known =
-    std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aOne) {
-      return aOne.upstream == aCrash.upstream;
+    std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aKnown) {
+      return aKnown.upstream == aCrash.upstream;
     });
   if (known != crashes.end()) {
     known->at = std::min(known->at, aCrash.at);
     return;
   }
-  const auto later =
-    std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aOne) {
-      return aOne.at > aCrash.at;
+  const auto firstLater =
+    std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aKnown) {
+      return aKnown.at > aCrash.at;
     });
-  crashes.insert(later, aCrash);
+  crashes.insert(firstLater, aCrash);
   if (crashes.size() > kMostCrashesKept) {
     crashes.erase(crashes.begin());
   }
-  record.toTell = kTimesTold;
-  Judge(aRequest, record, aNow);
-  if (record.held) {
+  record.pendingReports = kTimesTold;
+  QuarantineIfNeeded(aRequest, record, aNow);
+  if (record.isQuarantined) {
     ReleaseExplained();
   }
-  MakeRoom();
+  EvictIfFull();
 }
 
 void
-Quarantine::Judge(RequestFingerprint aRequest, Record& aRecord, TimePoint aNow)
+Quarantine::QuarantineIfNeeded(RequestFingerprint aRequest,
+                               Record& aRecord,
+                               TimePoint aNow)
 {
-  const bool guilty = aNow - aRecord.Newest() < kQuarantineTime &&
-                      Unexplained(aRecord) >= kCrashesToQuarantine;
-  if (guilty && !aRecord.held) {
-    aRecord.held = true;
-    Note(aRequest, QuarantineChange::Quarantined, aRecord);
+  const bool isNeeded = aNow - aRecord.LastEventAt() < kQuarantineTime &&
+                        CountUnexplained(aRecord) >= kCrashesToQuarantine;
+  if (isNeeded && !aRecord.isQuarantined) {
+    aRecord.isQuarantined = true;
+    AddNotice(aRequest, QuarantineChange::Quarantined, aRecord);
   }
 }
 
@@ -101,20 +104,22 @@
   if (record.clearedAt && aAt <= *record.clearedAt) {
     return;
   }
-  const auto voided = std::erase_if(record.crashes, [&](const Crash& aCrash) {
-    return aCrash.at <= aAt + kSoundFor;
-  });
-  const bool isNews = !record.clearedAt || voided > 0;
+  const auto removedCrashes =
+    std::erase_if(record.crashes, [&](const Crash& aCrash) {
+      return aCrash.at <= aAt + kSoundFor;
+    });
+  const bool hasChanged = !record.clearedAt || removedCrashes > 0;
   record.clearedAt = aAt;
-  record.toTell = isNews ? kTimesTold : record.toTell;
-  if (record.held && Unexplained(record) < kCrashesToQuarantine) {
-    record.held = false;
-    Note(aRequest, QuarantineChange::Cleared, record);
+  record.pendingReports = hasChanged ? kTimesTold : record.pendingReports;
+  if (record.isQuarantined && CountUnexplained(record) < kCrashesToQuarantine) {
+    record.isQuarantined = false;
+    AddNotice(aRequest, QuarantineChange::Cleared, record);
   }
-  MakeRoom();
+  EvictIfFull();
 }
 
-//! NOTE not by one that met as few crashes: it may be what was beside the true
+//! Only a quarantined request with more crashes explains a crash of another
+//! one. A request with as few crashes may itself have run beside the actual
 //! cause, and would hide it.
 bool
 Quarantine::IsExplained(const Record& aRecord, UpstreamId aUpstream) const
@@ -122,7 +127,8 @@
   return std::any_of(
     m_records.begin(), m_records.end(), [&](const auto& aEntry) {
       const auto& other = aEntry.second;
-      return other.held && other.crashes.size() > aRecord.crashes.size() &&
+      return other.isQuarantined &&
+             other.crashes.size() > aRecord.crashes.size() &&
              std::any_of(other.crashes.begin(),
                          other.crashes.end(),
                          [&](const Crash& aCrash) {
@@ -132,7 +138,7 @@
 }
 
 std::size_t
-Quarantine::Unexplained(const Record& aRecord) const
+Quarantine::CountUnexplained(const Record& aRecord) const
 {
   return static_cast<std::size_t>(std::count_if(
     aRecord.crashes.begin(), aRecord.crashes.end(), [&](const Crash& aCrash) {
@@ -140,14 +146,17 @@
     }));
 }
 
-//! One more crash under a quarantined request may clear what was beside it.
+//! Ends the quarantine of requests whose crashes are now explained. A further
+//! crash of a quarantined request may show that the others merely ran beside
+//! it.
 void
 Quarantine::ReleaseExplained()
 {
   for (auto& [request, record] : m_records) {
-    if (record.held && Unexplained(record) < kCrashesToQuarantine) {
-      record.held = false;
-      Note(request, QuarantineChange::Cleared, record);
+    if (record.isQuarantined &&
+        CountUnexplained(record) < kCrashesToQuarantine) {
+      record.isQuarantined = false;
+      AddNotice(request, QuarantineChange::Cleared, record);
     }
   }
 }
@@ -156,7 +165,7 @@
 Quarantine::Crashes(RequestFingerprint aRequest) const
 {
   const auto found = m_records.find(aRequest);
-  return found == m_records.end() ? 0 : Unexplained(found->second);
+  return found == m_records.end() ? 0 : CountUnexplained(found->second);
 }
 
 std::optional<Duration>
@@ -165,10 +174,10 @@
                     TimePoint aNow) const
 {
   const auto found = m_records.find(aRequest);
-  if (found != m_records.end() && found->second.held) {
-    const auto left = found->second.Newest() + kQuarantineTime - aNow;
-    if (left > Duration{}) {
-      return left;
+  if (found != m_records.end() && found->second.isQuarantined) {
+    const auto timeLeft = found->second.LastEventAt() + kQuarantineTime - aNow;
+    if (timeLeft > Duration{}) {
+      return timeLeft;
     }
   }
   const auto success = m_successes.Last(aRequest);
@@ -194,13 +203,14 @@
   }
 }
 
-//! Not what is about to be forgotten: two routers would remind each other of it
-//! for ever.
+//! Appends the crashes and the clearance of one record to aNews. Leaves out
+//! what is older than kCrashTold and expires soon, since two routers would
+//! otherwise restore it for each other forever.
 void
-Quarantine::TellRecord(CrashNews& aNews,
-                       RequestFingerprint aRequest,
-                       const Record& aRecord,
-                       TimePoint aNow)
+Quarantine::AppendRecord(CrashNews& aNews,
+                         RequestFingerprint aRequest,
+                         const Record& aRecord,
+                         TimePoint aNow)
 {
   for (const auto& crash : aRecord.crashes) {
     const auto age = aNow - crash.at;
@@ -217,29 +227,30 @@
   }
 }
 
-//! Where there is more news than room, what most is known of goes first.
+//! If not everything fits, records of high priority are reported first.
 CrashNews
 Quarantine::TellNews(TimePoint aNow)
 {
-  std::vector<Records::iterator> untold;
+  std::vector<Records::iterator> unreported;
   for (auto it = m_records.begin(); it != m_records.end(); ++it) {
-    if (it->second.toTell > 0) {
-      untold.push_back(it);
+    if (it->second.pendingReports > 0) {
+      unreported.push_back(it);
     }
   }
-  std::sort(
-    untold.begin(), untold.end(), [](const auto& aOne, const auto& aTwo) {
-      return aOne->second.Rank() > aTwo->second.Rank();
-    });
+  std::sort(unreported.begin(),
+            unreported.end(),
+            [](const auto& aLeft, const auto& aRight) {
+              return aLeft->second.Priority() > aRight->second.Priority();
+            });
   CrashNews news;
-  for (const auto& entry : untold) {
+  for (const auto& entry : unreported) {
     const bool full = news.crashes.size() >= kMostCrashesTold ||
                       news.clearances.size() >= kMostCrashesTold;
     if (full) {
       break;
     }
-    entry->second.toTell--;
-    TellRecord(news, entry->first, entry->second, aNow);
+    entry->second.pendingReports--;
+    AppendRecord(news, entry->first, entry->second, aNow);
   }
   return news;
 }
@@ -249,18 +260,18 @@
 {
   CrashNews news;
   for (const auto& [request, record] : m_records) {
-    if (record.held) {
-      TellRecord(news, request, record, aNow);
+    if (record.isQuarantined) {
+      AppendRecord(news, request, record, aNow);
     }
   }
   const auto count = std::min(kSuspectsInTurn, m_records.size());
-  auto next = m_records.lower_bound(m_nextTold);
+  auto next = m_records.lower_bound(m_nextInTurn);
   for (std::size_t i = 0; i < count; ++i) {
     next = next == m_records.end() ? m_records.begin() : next;
-    TellRecord(news, next->first, next->second, aNow);
+    AppendRecord(news, next->first, next->second, aNow);
     ++next;
   }
-  m_nextTold = next == m_records.end() ? RequestFingerprint{} : next->first;
+  m_nextInTurn = next == m_records.end() ? RequestFingerprint{} : next->first;
   return news;
 }
 
@@ -268,12 +279,13 @@
 Quarantine::Tick(TimePoint aNow)
 {
   for (auto& [request, record] : m_records) {
-    const bool isOver =
-      record.held && aNow - record.Newest() >= kQuarantineTime;
-    if (isOver) {
-      //! NOTE one more crash is enough to hold it again.
-      record.held = false;
-      Note(request, QuarantineChange::Expired, record);
+    const bool hasEnded =
+      record.isQuarantined && aNow - record.LastEventAt() >= kQuarantineTime;
+    if (hasEnded) {
+      // The crashes are kept, so that one more crash is enough to quarantine
+      // the request again.
+      record.isQuarantined = false;
+      AddNotice(request, QuarantineChange::Expired, record);
     }
     std::erase_if(record.crashes, [&](const Crash& aCrash) {
       return aNow - aCrash.at >= kCrashKept;
@@ -286,26 +298,28 @@
   });
 }
 
-//! What least is known of goes first.
+//! Evicts the record of the lowest priority if there are too many.
 void
-Quarantine::MakeRoom()
+Quarantine::EvictIfFull()
 {
   if (m_records.size() <= kMostSuspects) {
     return;
   }
-  const auto least = std::min_element(
-    m_records.begin(), m_records.end(), [](const auto& aOne, const auto& aTwo) {
-      return aOne.second.Rank() < aTwo.second.Rank();
+  const auto lowest = std::min_element(
+    m_records.begin(),
+    m_records.end(),
+    [](const auto& aLeft, const auto& aRight) {
+      return aLeft.second.Priority() < aRight.second.Priority();
     });
-  m_records.erase(least);
+  m_records.erase(lowest);
 }
 
 void
-Quarantine::Note(RequestFingerprint aRequest,
-                 QuarantineChange aChange,
-                 const Record& aRecord)
+Quarantine::AddNotice(RequestFingerprint aRequest,
+                      QuarantineChange aChange,
+                      const Record& aRecord)
 {
-  if (m_notices.size() < kMostNotices) {
+  if (m_notices.size() < kMaxNotices) {
     m_notices.push_back({ aRequest, aChange, aRecord.crashes.size() });
   }
 }
@@ -319,14 +333,14 @@
 std::vector<QuarantineNotice>
 Quarantine::Held(TimePoint aNow) const
 {
-  std::vector<QuarantineNotice> held;
+  std::vector<QuarantineNotice> notices;
   for (const auto& [request, record] : m_records) {
     if (HeldFor(request, 0, aNow)) {
-      held.push_back(
+      notices.push_back(
         { request, QuarantineChange::Quarantined, record.crashes.size() });
     }
   }
-  return held;
+  return notices;
 }
 
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -11,58 +11,66 @@
 
 namespace hemlockgauge::quarantine {
 
-//! Requests that are kept from upstreams, since upstreams crash under them.
+//! Decides which requests are quarantined, that is refused because upstreams
+//! crash while they run them.
 //!
-//! The load: a request that crashes each upstream that runs it and comes again,
-//! at any router, under another id; beside it whatever those upstreams ran.
-//! Routers tell each other under which requests an upstream crashed. One that
-//! kCrashesToQuarantine upstreams crashed under is refused for
-//! kQuarantineTime, then tried again.
+//! Such a request crashes each upstream that runs it, and callers send it
+//! again, to any router and under another request id. Each crash also ends the
+//! other requests that the upstream ran. Routers report to each other which
+//! requests an upstream ran when it crashed. A request that
+//! kCrashesToQuarantine upstreams ran when they crashed is refused for
+//! kQuarantineTime and may then be tried again.
 //!
-//! Who merely shared an upstream with a crash keeps its service: one whole
-//! answer clears a request, also one that came shortly before the crash, and a
-//! crash is explained, and counts for no other, by a quarantined request under
-//! which more upstreams crashed.
+//! Requests that merely shared an upstream with the cause of a crash have to
+//! stay in service. One complete answer therefore clears a request, also if it
+//! came shortly before the crash. A crash doesn't count for a request if it is
+//! explained by another one: a quarantined request that has more crashes and
+//! that the same upstream ran.
 //!
-//! The state is what routers have told lately: merged in any order, bounded by
-//! kMostSuspects, and told again now and then for routers that start or were
-//! cut off.
+//! The state consists of recent reports of routers. It doesn't depend on their
+//! order, is bounded by kMostSuspects, and is sent again from time to time for
+//! routers that start or were cut off.
 class Quarantine
 {
 public:
-  //! An upstream crashed while it ran the request.
+  //! Records that an upstream crashed while it ran the request.
   void Crashed(RequestFingerprint aRequest,
                UpstreamId aUpstream,
                TimePoint aNow);
-  //! An upstream gave a whole answer to it.
+  //! Records that an upstream answered the request completely.
   void EndedWell(RequestFingerprint aRequest, TimePoint aNow);
 
-  //! Upstreams that crashed under it and that nothing else explains.
+  //! Number of upstreams that crashed while they ran the request, without
+  //! crashes that another request explains.
   std::size_t Crashes(RequestFingerprint aRequest) const;
-  //! For how long it is to be refused; nothing: it may run. aUnsure: upstreams
-  //! that broke under it and may have crashed.
+  //! Returns how long the request has to be refused; no value if it may run.
+  //! aUnsure is the number of upstreams that may have crashed while they ran
+  //! it, which is still being checked.
   std::optional<Duration> HeldFor(RequestFingerprint aRequest,
                                   std::size_t aUnsure,
                                   TimePoint aNow) const;
 
-  //! What another router told.
+  //! Merges what another router reported.
   void Take(const CrashNews& aNews, TimePoint aNow);
-  //! What others may not know yet, each a few times: reports get lost.
+  //! Returns what other routers may not know yet. Each item is returned
+  //! kTimesTold times, since reports get lost.
   CrashNews TellNews(TimePoint aNow);
-  //! For routers that start or were cut off: all that is quarantined, and some
-  //! of the suspects, others each time.
+  //! Returns all quarantined requests and, in rotation, some of the suspects,
+  //! for routers that start or were cut off.
   CrashNews TellInTurn(TimePoint aNow);
-  //! Forgets what is old.
+  //! Ends quarantines after kQuarantineTime and removes expired records.
   void Tick(TimePoint aNow);
 
-  //! What has changed since the last call.
+  //! Returns the changes since the last call.
   std::vector<QuarantineNotice> TakeNotices();
+  //! Number of requests that have a record.
   std::size_t Suspects() const { return m_records.size(); }
-  //! The requests that are refused now, and how many upstreams crashed under
-  //! each.
+  //! Returns the requests that are refused at aNow, with the number of
+  //! upstreams that crashed while they ran each.
   std::vector<QuarantineNotice> Held(TimePoint aNow) const;
 
 private:
+  //! A crash of an upstream that ran the request.
   struct Crash
   {
     UpstreamId upstream{};
@@ -71,37 +79,44 @@
 
   struct Record
   {
-    std::vector<Crash> crashes; //!< the oldest first
-    std::optional<TimePoint> clearedAt;
-    bool held = false;
-    int toTell = 0; //!< in so many more reports
+    std::vector<Crash> crashes;         //!< the oldest first, one per upstream
+    std::optional<TimePoint> clearedAt; //!< last complete answer
+    bool isQuarantined = false;
+    int pendingReports = 0; //!< number of reports that still have to include it
 
-    //! What least is known of is the least.
-    auto Rank() const { return std::tuple(held, crashes.size(), Newest()); }
+    //! Order of records. The lowest ones are evicted first, the highest ones
+    //! are reported first.
+    auto Priority() const
+    {
+      return std::tuple(isQuarantined, crashes.size(), LastEventAt());
+    }
 
-    TimePoint Newest() const;
+    //! Time of the last crash or complete answer.
+    TimePoint LastEventAt() const;
   };
 
   using Records = std::map<RequestFingerprint, Record>;
 
   void Add(RequestFingerprint aRequest, const Crash& aCrash, TimePoint aNow);
   void Clear(RequestFingerprint aRequest, TimePoint aAt);
-  void Judge(RequestFingerprint aRequest, Record& aRecord, TimePoint aNow);
+  void QuarantineIfNeeded(RequestFingerprint aRequest,
+                          Record& aRecord,
+                          TimePoint aNow);
   bool IsExplained(const Record& aRecord, UpstreamId aUpstream) const;
-  std::size_t Unexplained(const Record& aRecord) const;
+  std::size_t CountUnexplained(const Record& aRecord) const;
   void ReleaseExplained();
-  static void TellRecord(CrashNews& aNews,
-                         RequestFingerprint aRequest,
-                         const Record& aRecord,
-                         TimePoint aNow);
-  void MakeRoom();
-  void Note(RequestFingerprint aRequest,
-            QuarantineChange aChange,
-            const Record& aRecord);
+  static void AppendRecord(CrashNews& aNews,
+                           RequestFingerprint aRequest,
+                           const Record& aRecord,
+                           TimePoint aNow);
+  void EvictIfFull();
+  void AddNotice(RequestFingerprint aRequest,
+                 QuarantineChange aChange,
+                 const Record& aRecord);
 
   Records m_records;
   RecentSuccesses m_successes;
-  RequestFingerprint m_nextTold{};
+  RequestFingerprint m_nextInTurn{};
   std::vector<QuarantineNotice> m_notices;
 };
 
--- a/src/quarantine/quarantineconstants.h
+++ b/src/quarantine/quarantineconstants.h
@@ -5,42 +5,49 @@
 #include <cstddef>
 #include <cstdint>
 
-//! Limits of what is believed of requests under which upstreams crash.
+//! Limits of the quarantine of requests that crash upstreams.
 namespace hemlockgauge::quarantine {
 
 using namespace std::chrono_literals;
 
-//! From the first connection that breaks at an upstream to a look whether it
-//! still listens: all its connections have told of their end by then.
+//! Delay from the first broken connection of an upstream to the check whether
+//! it still listens. By then, the end of all its connections has been noticed.
 inline constexpr base::Duration kCrashCheckDelay = 20ms;
 
-//! Upstreams that crashed under a request before it is quarantined. Each crash
-//! has a score of requests beside it; of those that are tried again hardly one
-//! meets a second crash, and none of hundreds a third.
+//! Number of upstreams that have to crash while they run a request before it is
+//! quarantined. About twenty other requests run on the upstream at each crash.
+//! When they are retried, hardly any is running at a second crash, and none of
+//! hundreds at a third.
 inline constexpr std::size_t kCrashesToQuarantine = 3;
-//! For how long; then one more crash is enough. Each trial may cost an upstream
-//! and what it runs.
+//! Duration of a quarantine. After it, one more crash is enough to quarantine
+//! the request again. Each trial may cost an upstream and the requests it runs.
 inline constexpr base::Duration kQuarantineTime = std::chrono::minutes(10);
-//! How long a crash is remembered: callers come again after any time.
+//! Time to live of a crash record. Callers may send a request again at any
+//! time.
 inline constexpr base::Duration kCrashKept = std::chrono::hours(1);
-//! How long it is told; less, or routers would remind each other for ever.
+//! Age up to which a crash is reported to other routers. It is less than
+//! kCrashKept, since routers would otherwise renew each other's records
+//! forever.
 inline constexpr base::Duration kCrashTold =
   kCrashKept - std::chrono::minutes(1);
-//! A whole answer speaks for copies of its request that ran so much later too:
-//! they were sent before it.
+//! A complete answer also clears crashes up to this long after it, since the
+//! copies of its request that ran then were sent before the answer.
 inline constexpr base::Duration kSoundFor = 1000ms;
-//! Until a look at an upstream has told whether it crashed.
+//! How long a request is refused until checks have shown whether upstreams that
+//! ran it crashed.
 inline constexpr base::Duration kUnsureFor = 100ms;
-//! Requests remembered, and crashes of each: some 400 KB if all are full.
+//! Maximum number of requests that have a record, and of crashes per record.
+//! All records together take about 400 KB if they are full.
 inline constexpr std::size_t kMostSuspects = 1024;
 inline constexpr std::size_t kMostCrashesKept = 16;
-//! Requests that ended well, remembered here: of half a minute.
+//! Maximum number of successful requests that this router remembers: those of
+//! about half a minute.
 inline constexpr std::size_t kMostSuccessesKept = 1024;
-//! Crashes in one report: 1 KB. News is told so many times, for reports get
-//! lost.
+//! Maximum number of crashes in one report: 1 KB.
 inline constexpr std::size_t kMostCrashesTold = 64;
+//! Number of reports that include each new item, since reports get lost.
 inline constexpr int kTimesTold = 5;
-//! Suspects that are told in turn, each time: some hundred bytes.
+//! Number of suspects in each periodic resend: some hundred bytes.
 inline constexpr std::size_t kSuspectsInTurn = 16;
 
 }
--- a/src/quarantine/quarantinetypes.h
+++ b/src/quarantine/quarantinetypes.h
@@ -8,30 +8,32 @@
 #include <cstdint>
 #include <vector>
 
-//! What routers believe of requests under which upstreams crash, and tell each
-//! other of them.
+//! Crash reports that routers exchange, and the results that they derive from
+//! them.
 namespace hemlockgauge::quarantine {
 
 using base::Duration;
 using base::TimePoint;
 using base::UpstreamId;
 
-//! An upstream that crashed while it ran a request.
+//! States that an upstream crashed while it ran a request.
 struct CrashReport
 {
   RequestFingerprint request{};
   UpstreamId upstream{};
-  Duration age{}; //!< since the crash
+  Duration age{}; //!< time since the crash
 };
 
-//! A request that an upstream ended well, although others crashed under it.
+//! States that an upstream answered a request completely, although others
+//! crashed while they ran it.
 struct ClearanceReport
 {
   RequestFingerprint request{};
-  Duration age{};
+  Duration age{}; //!< time since the answer
 };
 
-//! What one router tells another; the age of each is as of its sending.
+//! What one router reports to another about crashes. Ages are those at the time
+//! of sending.
 struct CrashNews
 {
   std::vector<CrashReport> crashes;
@@ -40,30 +42,33 @@
   bool IsEmpty() const { return crashes.empty() && clearances.empty(); }
 };
 
-//! What a look at an upstream told whose connections broke under requests.
+//! Result of the check of an upstream whose connections broke while it ran
+//! requests.
 enum class CheckResult : std::uint8_t
 {
-  Crashed, //!< nothing listens there any more
-  Lives,   //!< it takes connections
-  Unknown  //!< neither came in time
+  Crashed, //!< connections are refused: nothing listens any more
+  Lives,   //!< it accepts connections
+  Unknown  //!< no result within the timeout
 };
 inline constexpr auto kCheckResultNames =
   base::MakeEnumNames<CheckResult>("crashed", "lives", "unknown");
 
+//! Change of the quarantine of one request.
 enum class QuarantineChange : std::uint8_t
 {
-  Quarantined, //!< goes to no upstream for a while
-  Cleared,     //!< an upstream ended it well
-  Expired      //!< may be tried once more
+  Quarantined, //!< is refused from now on
+  Cleared,     //!< by a complete answer, or explained by another request
+  Expired      //!< kQuarantineTime is over; it may be tried again
 };
 inline constexpr auto kQuarantineChangeNames =
   base::MakeEnumNames<QuarantineChange>("quarantined", "cleared", "expired");
 
+//! Reports one change, with the crash count of the request.
 struct QuarantineNotice
 {
   RequestFingerprint request{};
   QuarantineChange change = QuarantineChange::Quarantined;
-  std::size_t crashes = 0; //!< upstreams that crashed under it
+  std::size_t crashes = 0; //!< upstreams that crashed while they ran it
 };
 
 }
--- a/src/quarantine/recentsuccesses.h
+++ b/src/quarantine/recentsuccesses.h
@@ -8,14 +8,14 @@
 
 namespace hemlockgauge::quarantine {
 
-//! The requests that ended well here last, a bounded number of them: one that
-//! many callers send alike is known to be sound before an upstream crashes
-//! under some of them.
+//! The requests that this router's upstreams last answered completely, at most
+//! kMostSuccessesKept. If many callers send the same request, it is known to be
+//! harmless before an upstream crashes while it runs some of its copies.
 class RecentSuccesses
 {
 public:
   void Add(RequestFingerprint aRequest, TimePoint aNow);
-  //! When it last ended well.
+  //! Time of the last complete answer to the request, if it is remembered.
   std::optional<TimePoint> Last(RequestFingerprint aRequest) const;
 
 private:
@@ -25,7 +25,7 @@
     TimePoint at{};
   };
 
-  std::deque<Success> m_order;
+  std::deque<Success> m_order; //!< the oldest first
   std::unordered_map<RequestFingerprint, TimePoint> m_last;
 };
 
--- a/src/quarantine/requestfingerprint.h
+++ b/src/quarantine/requestfingerprint.h
@@ -6,13 +6,14 @@
 
 namespace hemlockgauge::quarantine {
 
-//! The same for each coming of the same request, under whatever id and at
-//! whatever router; a hash, so it tells nothing of what the request holds.
+//! Hash that is equal for all copies of a request, whatever their request id
+//! and the router that gets them. It doesn't reveal the contents of the
+//! request.
 enum class RequestFingerprint : std::uint64_t
 {
 };
 
-//! What a request is recognised by.
+//! The parts of a request that its fingerprint is computed from.
 struct RequestIdentity
 {
   std::string_view workspace; //!< empty: the route is public
@@ -25,7 +26,7 @@
 RequestFingerprint
 FingerprintOf(const RequestIdentity& aIdentity);
 
-//! 16 hexadecimal digits, for logs.
+//! Returns the fingerprint as 16 hexadecimal digits, for logs.
 std::string
 FingerprintText(RequestFingerprint aFingerprint);
 
--- a/src/quarantine/tests/crashcheckstests.cpp
+++ b/src/quarantine/tests/crashcheckstests.cpp
@@ -15,7 +15,7 @@
 
 }
 
-Test(crashchecks, WhatBreaksTogetherIsLookedAtOnce)
+Test(crashchecks, ConnectionsThatBreakTogetherCauseOneCheck)
 {
   CrashChecks checks;
   checks.Broke(kFirst, kRequest, 100ms);
@@ -39,7 +39,7 @@
   cr_assert(checks.Waiting(kRequest) == 1);
 }
 
-Test(fingerprint, TellsRequestsApartByAllThatIsTheSameWhenTheyComeAgain)
+Test(fingerprint, CoversAllPartsThatCopiesOfARequestShare)
 {
   const RequestIdentity request{ "w", "POST", "h", "/a?b", "body" };
   cr_assert(FingerprintOf(request) == FingerprintOf(request));
--- a/src/quarantine/tests/quarantinetests.cpp
+++ b/src/quarantine/tests/quarantinetests.cpp
@@ -16,30 +16,30 @@
 
 }
 
-Test(quarantine, ACrashThatAnotherRequestExplainsDoesNotCount)
+Test(quarantine, CrashThatAnotherRequestExplainsDoesNotCount)
 {
-  constexpr RequestFingerprint kBeside{ 5 };
+  constexpr RequestFingerprint kHarmless{ 5 };
   Quarantine quarantine;
   for (std::uint32_t i = 1; i <= 4; ++i) {
     quarantine.Crashed(kCrashing, UpstreamId(i), 100ms);
   }
   for (std::uint32_t i = 1; i <= 3; ++i) {
-    quarantine.Crashed(kBeside, UpstreamId(i), 100ms);
+    quarantine.Crashed(kHarmless, UpstreamId(i), 100ms);
   }
   cr_assert(quarantine.HeldFor(kCrashing, 0, 200ms).has_value());
-  cr_assert(quarantine.Crashes(kBeside) == 0);
-  cr_assert(!quarantine.HeldFor(kBeside, 0, 200ms));
+  cr_assert(quarantine.Crashes(kHarmless) == 0);
+  cr_assert(!quarantine.HeldFor(kHarmless, 0, 200ms));
 }
 
-//! A request met the same three crashes as the one that caused them, and is
-//! told of first. It must not hide the other; once that one has crashed more,
-//! the first one is free again.
-Test(quarantine, WhatMetTheSameCrashesHidesNoneAndIsFreedByTheNext)
+//! Guards against a harmless request that hides the cause of crashes: it ran at
+//! the same three upstreams and is reported first. Both are quarantined until a
+//! fourth crash of the cause explains the crashes of the harmless one.
+Test(quarantine, RequestWithTheSameCrashesIsReleasedByTheNextCrash)
 {
-  constexpr RequestFingerprint kBeside{ 5 };
+  constexpr RequestFingerprint kHarmless{ 5 };
   Quarantine quarantine;
   for (std::uint32_t i = 1; i <= 3; ++i) {
-    quarantine.Crashed(kBeside, UpstreamId(i), 100ms);
+    quarantine.Crashed(kHarmless, UpstreamId(i), 100ms);
   }
   for (std::uint32_t i = 1; i <= 3; ++i) {
     quarantine.Crashed(kCrashing, UpstreamId(i), 100ms);
@@ -47,10 +47,10 @@
   cr_assert(quarantine.HeldFor(kCrashing, 0, 200ms).has_value());
   quarantine.Crashed(kCrashing, UpstreamId(4), 300ms);
   cr_assert(quarantine.HeldFor(kCrashing, 0, 400ms).has_value());
-  cr_assert(!quarantine.HeldFor(kBeside, 0, 400ms));
+  cr_assert(!quarantine.HeldFor(kHarmless, 0, 400ms));
 }
 
-Test(quarantine, AWholeAnswerClearsItEverywhere)
+Test(quarantine, CompleteAnswerClearsARequestAtAllRouters)
 {
   Quarantine here;
   Quarantine there;
@@ -63,12 +63,12 @@
   there.EndedWell(kCrashing, 400ms);
   here.Take(there.TellNews(500ms), 505ms);
   cr_assert(!here.HeldFor(kCrashing, 0, 600ms));
-  // What others still tell of the same crashes changes nothing.
+  // A repeated report of the same crashes has no effect.
   here.Take(report, 610ms);
   cr_assert(!here.HeldFor(kCrashing, 0, 620ms));
 }
 
-Test(quarantine, WhatIsUnsureIsHeldOnlyUntilTheLookHasTold)
+Test(quarantine, RequestIsRefusedBrieflyWhileChecksArePending)
 {
   Quarantine quarantine;
   quarantine.Crashed(kCrashing, UpstreamId(1), 100ms);
@@ -77,9 +77,9 @@
   cr_assert(*quarantine.HeldFor(kCrashing, 2, 200ms) == kUnsureFor);
 }
 
-//! The load: hundreds of upstreams crash, each with all that it ran. What is
-//! quarantined stays so, and memory and reports stay small.
-Test(quarantine, ItsStateIsBounded)
+//! Guards against unbounded state when hundreds of upstreams crash, each with
+//! all requests that it ran. Quarantined requests have to stay quarantined.
+Test(quarantine, StateIsBounded)
 {
   Quarantine quarantine;
   for (std::uint32_t i = 1; i <= 3; ++i) {
@@ -105,9 +105,9 @@
   cr_assert(quarantine.Suspects() == 0);
 }
 
-//! Reports come late, twice, in any order and by any way; all routers end with
-//! the same belief.
-Test(quarantine, WhatIsKnownDoesNotDependOnTheOrderOfReports)
+//! Guards against routers that disagree: reports may arrive late, repeatedly
+//! and in any order, but have to lead to the same state.
+Test(quarantine, StateDoesNotDependOnTheOrderOfReports)
 {
   rc::check([] {
     const auto upstreams =
@@ -134,7 +134,7 @@
   });
 }
 
-Test(recentsuccesses, TheLastOnesAreKept)
+Test(recentsuccesses, KeepsTheMostRecentSuccesses)
 {
   RecentSuccesses successes;
   for (std::uint64_t i = 0; i <= kMostSuccessesKept; ++i) {
