--- a/src/fleet/tests/admissiontests.cpp
+++ b/src/fleet/tests/admissiontests.cpp
@@ -9,7 +9,7 @@
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
-Test(admission, TheExcessOfAFloodGoesFirst)
+Test(admission, RequestsBeyondTheFairShareAreRefusedFirst)
 {
   AdmissionInput input;
   input.target = 1000ms;
@@ -22,7 +22,7 @@
   cr_assert(refused.retryAfter == 500ms);
 }
 
-Test(admission, WhatCannotBeInTimeIsRefusedAtOnceAndToldWhenToComeBack)
+Test(admission, ARequestThatWouldBeLateIsRefusedWithARetryAfter)
 {
   AdmissionInput input;
   input.target = 1000ms;
@@ -33,8 +33,8 @@
   cr_assert(refused.retryAfter == 600ms);
 }
 
-//! What waits longer than callers can use makes all of them late.
-Test(queuelimit, ItIsWhatTheRouterReadsInAFractionOfATarget)
+//! A queue that takes longer than callers can wait makes all of them late.
+Test(acceptqueuelimit, IsProportionalToTheProcessorShareWithinBounds)
 {
   cr_assert(QueueLimit(0.12) == 120);
   cr_assert(QueueLimit(0.5) == 500);
@@ -42,16 +42,18 @@
   cr_assert(QueueLimit(64) == kQueueMost);
 }
 
-//! The load: engines are lost, or more is promised than they can read. What is
-//! promised gives way to what is owed, and is not refused like a flood.
-Test(admission, WhatIsPromisedAloneGoesBetweenTheOwedAndTheFlood)
+//! Engines are lost, or the nominal capacity exceeds what they can prefill.
+//! Requests inside the nominal share alone give way to those inside the fair
+//! share, but are not refused as early as requests beyond both.
+Test(admission, RequestsInsideTheNominalShareAloneHaveAnIntermediateLimit)
 {
   AdmissionInput input;
   input.target = 1000ms;
   input.timeLeft = 5000ms;
   input.insideShare = false;
   input.insidePromise = true;
-  input.passesLevel = false; // the level is for what was promised to no one
+  input.passesLevel =
+    false; // the throttle applies only beyond the nominal share
   input.foreseenMs = kInsidePromiseLimit * 1000 - 1;
   cr_assert(Admit(input).taken);
   input.foreseenMs = kInsidePromiseLimit * 1000 + 1;
@@ -60,8 +62,8 @@
   cr_assert(Admit(input).taken);
 }
 
-//! The load: engines are full of others' prompts. A workspace that got a
-//! quarter of what it asked was refused for the time that it would wait.
+//! Engines are busy with other workspaces' prompts. A workspace that got a
+//! quarter of what it asked was refused because of its predicted wait.
 Test(admission, AStarvedWorkspaceIsServedLateRatherThanRefused)
 {
   AdmissionInput input;
@@ -73,8 +75,9 @@
   cr_assert(Admit(input).taken);
 }
 
-//! Found when trying limits: the largest tenth of the long prompts was
-//! served half as often as all of them.
+//! Guards against refusing large prompts because prefilling them takes long:
+//! the largest tenth of the long prompts was served half as often as all long
+//! prompts.
 Test(admission, ALargePromptIsNotRefusedForItsSize)
 {
   AdmissionInput input;
@@ -92,7 +95,7 @@
   cr_assert(!Admit(input).taken);
 }
 
-Test(admission, ABusyRouterShedsOnlyWhatIsNotOwedAndOnlyBeyondTheTargetsPart)
+Test(admission, ABusyRouterShedsOnlyBeyondTheFairShareAndAPartOfTheTarget)
 {
   cr_assert(!ShedsWhileBusy(true, 10000ms, 500ms));
   const auto limit =
@@ -101,14 +104,15 @@
   cr_assert(ShedsWhileBusy(false, limit + 1ms, 500ms));
 }
 
-Test(admission, WhatIsBeyondShareAndLevelIsRefusedHoweverShortTheWait)
+Test(admission, AThrottledRequestBeyondItsShareIsRefusedHoweverShortTheWait)
 {
   AdmissionInput input;
   input.target = 1000ms;
   input.timeLeft = 6000ms;
   input.passesLevel = false;
   input.foreseenMs = 100;
-  cr_assert(Admit(input).taken, "inside its share the level is not asked");
+  cr_assert(Admit(input).taken,
+            "the throttle does not apply inside the fair share");
   input.insideShare = false;
   const auto refused = Admit(input);
   cr_assert(!refused.taken);
@@ -116,13 +120,13 @@
   input.timeLeft = 1000ms;
   cr_assert(Admit(input).retryAfter == 300ms);
   input.idle = true;
-  cr_assert(Admit(input).taken, "an idle upstream takes it");
+  cr_assert(Admit(input).taken, "an idle upstream accepts any request");
   input.idle = false;
   input.passesLevel = true;
   cr_assert(Admit(input).taken);
 }
 
-Test(admission, WhoIsAheadGivesWayOnlyWhileOthersWait)
+Test(admission, AWorkspaceThatIsAheadIsRefusedOnlyWhileOthersWait)
 {
   AdmissionInput input;
   input.target = 1000ms;
@@ -139,7 +143,7 @@
   cr_assert(Admit(input).taken);
 }
 
-Test(admission, NothingIsRefusedWhilePlacesAreFree)
+Test(admission, NothingIsRefusedWhileSlotsAreFree)
 {
   AdmissionInput input;
   input.target = 100ms;
@@ -149,7 +153,7 @@
   cr_assert(Admit(input).taken);
 }
 
-Test(forecasterror, TheLessForecastsHoldTheLessMayBegin)
+Test(forecasterror, LargerForecastErrorsReduceTheOvercommitRatio)
 {
   ForecastError error;
   cr_assert(error.ReadingUse() == kReadingUseMost);
@@ -168,7 +172,7 @@
   cr_assert(error.ReadingUse() == kReadingUseMost);
 }
 
-Test(passlevel, WhoAsksMoreThanTheLevelPassesInProportion)
+Test(workspacethrottle, DemandAboveTheMaxMinSharePassesInProportion)
 {
   PassLevel level;
   WorkspaceRates rates;
@@ -188,9 +192,9 @@
   cr_assert(passed[3] == 25);
 }
 
-//! Found on a grown deployment: of two that flood, the one whose requests
-//! were mostly refused for their wait got less than half of the other.
-Test(passlevel, WhoBeganLessThanTheLevelPassesMoreOften)
+//! Of two flooding workspaces, the one whose requests were mostly refused for
+//! their predicted wait got less than half of what the other one got.
+Test(workspacethrottle, AWorkspaceFarBelowItsMaxMinSharePassesMoreOften)
 {
   PassLevel level;
   WorkspaceRates rates;
@@ -208,12 +212,13 @@
   cr_assert(ahead == 12);
 }
 
-Test(passlevel, WithRoomForAllEverythingPasses)
+Test(workspacethrottle, EverythingPassesWhileCapacityExceedsDemand)
 {
   PassLevel level;
   WorkspaceRates rates;
   rates[WorkspaceId(1)].asked = 100;
   level.Update(rates, 500);
   cr_assert(level.Pass(WorkspaceId(1)));
-  cr_assert(level.Pass(WorkspaceId(2)), "one that asks for the first time");
+  cr_assert(level.Pass(WorkspaceId(2)),
+            "a workspace that is not in the rates passes");
 }
--- a/src/fleet/tests/busyroutermodel.cpp
+++ b/src/fleet/tests/busyroutermodel.cpp
@@ -12,54 +12,55 @@
 
 namespace {
 
-constexpr std::int64_t kSecond = 1000000;
-constexpr std::int64_t kMilli = 1000;
+constexpr std::int64_t kMicrosPerSecond = 1000000;
+constexpr std::int64_t kMicrosPerMilli = 1000;
+//! Processor time of a whole core, in microseconds.
 constexpr std::int64_t kAcceptCost = 9;
 constexpr std::int64_t kRefuseCost = 27;
 constexpr std::int64_t kServeCost = 106;
-constexpr std::size_t kPerRound = 64;
-//! A caller whose request was not read tries again at once, this often.
-constexpr int kMostUnreadTries = 4;
-//! How long a caller waits for a connection, and for its request to be read.
-constexpr std::int64_t kPatience = kSecond;
+constexpr std::size_t kMaxPerRound = 64;
+//! A caller whose request was never read gives up after this many attempts.
+constexpr int kMaxUnreadAttempts = 4;
+//! How long a caller waits for a connection and for its request to be read.
+constexpr std::int64_t kCallerTimeout = kMicrosPerSecond;
 constexpr Duration kTarget = 500ms;
 
 }
 
-BusyRouterModel::BusyRouterModel(const FloodedRouter& aRouter,
-                                 std::uint32_t aSeed)
+BusyRouterModel::BusyRouterModel(const FloodLoad& aRouter, std::uint32_t aSeed)
   : m_router(aRouter)
 {
-  DrawArrivals(aSeed);
+  ScheduleArrivals(aSeed);
 }
 
 void
-BusyRouterModel::DrawArrivals(std::uint32_t aSeed)
+BusyRouterModel::ScheduleArrivals(std::uint32_t aSeed)
 {
   std::mt19937 random(aSeed);
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
-  const auto flood = m_router.floodFrom.count() * kMilli;
-  const auto end = m_router.length.count() * kMilli;
+  const auto floodStart = m_router.floodStartsAt.count() * kMicrosPerMilli;
+  const auto end = m_router.length.count() * kMicrosPerMilli;
   Micros at = 0;
   while (at < end) {
-    const double rate = m_router.requestsPerSecond * (at < flood ? 0.1 : 1.0);
-    const double pause = -std::log(1.0 - uniform(random)) / rate;
-    at += static_cast<Micros>(pause * kSecond) + 1;
+    const double rate =
+      m_router.requestsPerSecond * (at < floodStart ? 0.1 : 1.0);
+    const double interval = -std::log(1.0 - uniform(random)) / rate;
+    at += static_cast<Micros>(interval * kMicrosPerSecond) + 1;
     Caller caller;
-    caller.askedAt = at;
-    caller.isOwed = uniform(random) < m_router.owedPart;
-    m_coming.emplace(at, caller);
-    m_outcome.asked++;
+    caller.firstSentAt = at;
+    caller.isInsideShare = uniform(random) < m_router.insideShareRatio;
+    m_arrivals.emplace(at, caller);
+    m_outcome.requests++;
   }
 }
 
 void
-BusyRouterModel::TakeArrivals()
+BusyRouterModel::ConnectArrivals()
 {
-  while (!m_coming.empty() && m_coming.begin()->first <= m_now) {
-    auto caller = m_coming.begin()->second;
-    caller.sentAt = m_coming.begin()->first;
-    m_coming.erase(m_coming.begin());
+  while (!m_arrivals.empty() && m_arrivals.begin()->first <= m_now) {
+    auto caller = m_arrivals.begin()->second;
+    caller.sentAt = m_arrivals.begin()->first;
+    m_arrivals.erase(m_arrivals.begin());
     Connect(caller);
   }
 }
@@ -67,51 +68,52 @@
 void
 BusyRouterModel::Connect(Caller aCaller)
 {
-  if (m_queue.size() < QueueLimit(m_router.processorShare)) {
-    m_queue.push_back(aCaller);
+  if (m_acceptQueue.size() < QueueLimit(m_router.processorShare)) {
+    m_acceptQueue.push_back(aCaller);
     return;
   }
-  LoseTry(aCaller, kPatience);
+  RetryLater(aCaller, kCallerTimeout);
 }
 
-//! The caller comes back after aWait, to the same router: the balancer chooses
-//! by the caller.
+//! Schedules the caller's next attempt after aWait, or counts it as failed. It
+//! returns to the same router, since the load balancer chooses a router by the
+//! caller.
 void
-BusyRouterModel::LoseTry(Caller aCaller, Micros aWait)
+BusyRouterModel::RetryLater(Caller aCaller, Micros aWait)
 {
-  aCaller.unreadTries++;
-  if (aCaller.unreadTries >= kMostUnreadTries) {
+  aCaller.unreadAttempts++;
+  if (aCaller.unreadAttempts >= kMaxUnreadAttempts) {
     m_outcome.failed++;
     return;
   }
-  m_coming.emplace(m_now + aWait, aCaller);
+  m_arrivals.emplace(m_now + aWait, aCaller);
 }
 
 void
-BusyRouterModel::Spend(Micros aProcessorTime)
+BusyRouterModel::Spend(Micros aCoreTime)
 {
-  m_now += static_cast<Micros>(static_cast<double>(aProcessorTime) /
+  m_now += static_cast<Micros>(static_cast<double>(aCoreTime) /
                                m_router.processorShare);
 }
 
 Duration
 BusyRouterModel::BusyFor() const
 {
-  return Duration((m_now - m_restedAt) / kMilli);
+  return Duration((m_now - m_idleAt) / kMicrosPerMilli);
 }
 
 bool
-BusyRouterModel::GaveUp(const Caller& aCaller) const
+BusyRouterModel::HasTimedOut(const Caller& aCaller) const
 {
-  return m_now - aCaller.sentAt > kPatience;
+  return m_now - aCaller.sentAt > kCallerTimeout;
 }
 
 void
 BusyRouterModel::Accept()
 {
-  for (std::size_t i = 0; i < kPerRound && !m_queue.empty(); ++i) {
-    const auto caller = m_queue.front();
-    m_queue.pop_front();
+  for (std::size_t i = 0; i < kMaxPerRound && !m_acceptQueue.empty(); ++i) {
+    const auto caller = m_acceptQueue.front();
+    m_acceptQueue.pop_front();
     Spend(kAcceptCost);
     m_unread.push_back(caller);
   }
@@ -120,18 +122,19 @@
 void
 BusyRouterModel::Read()
 {
-  for (std::size_t i = 0; i < kPerRound && !m_unread.empty(); ++i) {
+  for (std::size_t i = 0; i < kMaxPerRound && !m_unread.empty(); ++i) {
     auto caller = m_unread.front();
     m_unread.pop_front();
-    if (GaveUp(caller)) {
+    if (HasTimedOut(caller)) {
       Spend(kRefuseCost);
-      LoseTry(caller, 0);
+      RetryLater(caller, 0);
       continue;
     }
-    if (!ShedsWhileBusy(caller.isOwed, BusyFor(), kTarget)) {
+    if (!ShedsWhileBusy(caller.isInsideShare, BusyFor(), kTarget)) {
       Spend(kServeCost);
       m_outcome.served++;
-      const bool inTime = m_now - caller.askedAt <= kTarget.count() * kMilli;
+      const bool inTime =
+        m_now - caller.firstSentAt <= kTarget.count() * kMicrosPerMilli;
       m_outcome.servedInTime += inTime ? 1 : 0;
       continue;
     }
@@ -141,29 +144,31 @@
       continue;
     }
     caller.wasRefused = true;
-    m_coming.emplace(m_now + kRetryAfterLeast.count() * kMilli, caller);
+    m_arrivals.emplace(m_now + kRetryAfterLeast.count() * kMicrosPerMilli,
+                       caller);
   }
 }
 
-//! Returns false if there is nothing to do.
+//! Adds the connections that are due. Returns whether there is anything to
+//! accept or read.
 bool
-BusyRouterModel::Looked()
+BusyRouterModel::PollWork()
 {
-  TakeArrivals();
-  const bool found = !m_queue.empty() || !m_unread.empty();
-  if (!found) {
-    m_restedAt = m_now;
+  ConnectArrivals();
+  const bool hasWork = !m_acceptQueue.empty() || !m_unread.empty();
+  if (!hasWork) {
+    m_idleAt = m_now;
   }
-  return found;
+  return hasWork;
 }
 
 FloodOutcome
 BusyRouterModel::Run()
 {
-  while (Looked() || !m_coming.empty()) {
-    if (m_queue.empty() && m_unread.empty()) {
-      m_now = m_coming.begin()->first;
-      m_restedAt = m_now;
+  while (PollWork() || !m_arrivals.empty()) {
+    if (m_acceptQueue.empty() && m_unread.empty()) {
+      m_now = m_arrivals.begin()->first;
+      m_idleAt = m_now;
       continue;
     }
     Read();
--- a/src/fleet/tests/busyroutermodel.h
+++ b/src/fleet/tests/busyroutermodel.h
@@ -8,35 +8,36 @@
 
 namespace hemlockgauge::fleet {
 
-//! Callers that connect anew for each request, and a router that is slower
-//! than they are.
-struct FloodedRouter
+//! The load on a router that is slower than its callers. Each caller opens a
+//! new connection for each request.
+struct FloodLoad
 {
   double processorShare = 0.12; //!< of a core
   double requestsPerSecond = 1100;
-  //! From this on requestsPerSecond are sent, before it a tenth of that.
-  Duration floodFrom{};
+  //! When the flood starts: requestsPerSecond are sent from then on, a tenth of
+  //! that before.
+  Duration floodStartsAt{};
   Duration length{ 6000 };
-  //! The part of the requests that is inside its workspace's share.
-  double owedPart = 1.0;
+  //! Ratio of the requests that are inside their workspace's fair share.
+  double insideShareRatio = 1.0;
 };
 
 struct FloodOutcome
 {
-  int asked = 0;
+  int requests = 0;
   int served = 0;
-  int servedInTime = 0; //!< within half a second of the first try
-  int refused = 0;      //!< finally, with a word when to come back
-  int failed = 0;       //!< never read
+  int servedInTime = 0; //!< within 500 ms of the first attempt
+  int refused = 0;      //!< after the last attempt, with a Retry-After
+  int failed = 0;       //!< given up unread
 };
 
-//! Plays one router's loop in virtual time. Costs are in processor time of a
-//! whole core: accepting a connection, reading and refusing a request,
-//! serving one.
+//! Simulates the event loop of one router in virtual time. Accepting a
+//! connection, reading and refusing a request, and serving one each cost a
+//! fixed processor time, given for a whole core.
 class BusyRouterModel
 {
 public:
-  BusyRouterModel(const FloodedRouter& aRouter, std::uint32_t aSeed);
+  BusyRouterModel(const FloodLoad& aRouter, std::uint32_t aSeed);
 
   FloodOutcome Run();
 
@@ -45,30 +46,30 @@
 
   struct Caller
   {
-    Micros askedAt = 0; //!< its first try
-    Micros sentAt = 0;  //!< this try
-    bool isOwed = true;
-    int unreadTries = 0; //!< dropped or given up
+    Micros firstSentAt = 0; //!< its first attempt
+    Micros sentAt = 0;      //!< this attempt
+    bool isInsideShare = true;
+    int unreadAttempts = 0; //!< attempts dropped by the full queue or timed out
     bool wasRefused = false;
   };
 
-  void DrawArrivals(std::uint32_t aSeed);
-  void TakeArrivals();
+  void ScheduleArrivals(std::uint32_t aSeed);
+  void ConnectArrivals();
   void Connect(Caller aCaller);
   void Accept();
   void Read();
-  void Spend(Micros aProcessorTime);
-  void LoseTry(Caller aCaller, Micros aWait);
-  bool GaveUp(const Caller& aCaller) const;
+  void Spend(Micros aCoreTime);
+  void RetryLater(Caller aCaller, Micros aWait);
+  bool HasTimedOut(const Caller& aCaller) const;
   Duration BusyFor() const;
-  bool Looked();
+  bool PollWork();
 
-  FloodedRouter m_router;
+  FloodLoad m_router;
   Micros m_now = 0;
-  Micros m_restedAt = 0;
-  std::multimap<Micros, Caller> m_coming;
-  std::deque<Caller> m_queue;  //!< not accepted
-  std::deque<Caller> m_unread; //!< accepted
+  Micros m_idleAt = 0;
+  std::multimap<Micros, Caller> m_arrivals;
+  std::deque<Caller> m_acceptQueue; //!< connections not yet accepted
+  std::deque<Caller> m_unread;      //!< accepted, request not yet read
   FloodOutcome m_outcome;
 };
 
--- a/src/fleet/tests/corefixture.h
+++ b/src/fleet/tests/corefixture.h
@@ -9,10 +9,13 @@
 
 namespace hemlockgauge::fleet {
 
+//! Size of a request's prompt if a test gives none.
 inline constexpr std::uint32_t kPromptTokens = 3000;
 
+//! Makes a configuration with a service of engines and a plain one.
+//! aTokensPerSecond: what all engines can prefill; 0 for no fair shares.
 inline ConfigPtr
-Config(std::uint64_t aVersion = 1, double aTokensPerSecond = 0)
+MakeConfig(std::uint64_t aVersion = 1, double aTokensPerSecond = 0)
 {
   auto config = std::make_shared<FleetConfig>();
   config->version = aVersion;
@@ -28,7 +31,7 @@
 }
 
 inline FleetSettings
-BenchSettings()
+FixtureSettings()
 {
   FleetSettings settings;
   settings.router = "r1";
@@ -37,18 +40,21 @@
   return settings;
 }
 
-//! One router over some upstreams, and the means to ask it.
-struct Bench
+//! One router with some upstreams, a clock and helpers to place requests.
+struct FleetFixture
 {
-  Bench()
-    : fleet(BenchSettings())
+  FleetFixture()
+    : fleet(FixtureSettings())
   {
     route.kind = CallKind::Stream;
     route.target = 800ms;
-    fleet.SetConfig(Config());
+    fleet.SetConfig(MakeConfig());
   }
 
-  void List(int aEngines, int aPlain = 0, const std::string& aPrefix = "u")
+  //! Replaces the upstreams by aEngines engines and aPlain plain upstreams.
+  void ListUpstreams(int aEngines,
+                     int aPlain = 0,
+                     const std::string& aPrefix = "u")
   {
     std::vector<UpstreamEntry> entries;
     for (int i = 0; i < aEngines + aPlain; ++i) {
@@ -63,8 +69,8 @@
     fleet.FollowUpstreams(now);
   }
 
-  //! One engine that started at aStartedAt.
-  void ListOne(std::uint64_t aStartedAt)
+  //! Lists the engine u0 with this start time.
+  void ListEngine(std::uint64_t aStartedAt)
   {
     UpstreamEntry entry;
     entry.id = "u0";
@@ -76,24 +82,28 @@
     fleet.FollowUpstreams(now);
   }
 
-  PlaceRequest Ask(std::uint64_t aPrefix,
-                   const std::string& aWorkspace = "w",
-                   std::uint32_t aTokens = kPromptTokens)
+  //! Makes a request whose prompt is half a shared prefix, half unique. It
+  //! refers to the fixture's work and is valid until the next call.
+  PlaceRequest MakeRequest(std::uint64_t aPrefix,
+                           const std::string& aWorkspace = "w",
+                           std::uint32_t aTokens = kPromptTokens)
   {
     work = Work{};
     work.promptTokens = aTokens;
     work.outputTokens = 50;
-    work.prompt = { { aPrefix, aTokens / 2 }, { ++lastOwn, aTokens / 2 } };
+    work.prompt = { { aPrefix, aTokens / 2 },
+                    { ++lastUniquePart, aTokens / 2 } };
     PlaceRequest request;
     request.route = &route;
     request.work = &work;
     request.service = "engines";
     request.workspace = WorkspaceIdOf(aWorkspace);
-    request.key = lastOwn;
+    request.key = lastUniquePart;
     request.timeLeft = 6000ms;
     return request;
   }
 
+  //! Counts the request's arrival and places it.
   PlaceResult Place(const PlaceRequest& aRequest)
   {
     fleet.Arrived(aRequest, now);
@@ -104,15 +114,15 @@
   Route route;
   Work work;
   TimePoint now{ 100000 };
-  std::uint64_t lastOwn = 1000000;
+  std::uint64_t lastUniquePart = 1000000;
 };
 
-//! First tokens that come as foreseen, or so much later.
-class EnginesThatRead
+//! Engines that send each first token at the predicted time, or aDelay later.
+class FakeEngines
 {
 public:
-  explicit EnginesThatRead(Duration aLate = Duration{})
-    : m_late(aLate)
+  explicit FakeEngines(Duration aDelay = Duration{})
+    : m_delay(aDelay)
   {
   }
 
@@ -122,23 +132,23 @@
       return;
     }
     const auto wait = Duration(static_cast<std::int64_t>(aPlace.foreseenMs));
-    m_reading.emplace_back(aNow + wait + m_late, aPlace.attempt);
+    m_reading.emplace_back(aNow + wait + m_delay, aPlace.attempt);
   }
 
-  void Finish(Bench& aBench)
+  void Finish(FleetFixture& aFixture)
   {
-    std::erase_if(m_reading, [&](const auto& aOne) {
-      if (aOne.first > aBench.now) {
+    std::erase_if(m_reading, [&](const auto& aReading) {
+      if (aReading.first > aFixture.now) {
         return false;
       }
-      aBench.fleet.FirstToken(aOne.second, aBench.now);
-      aBench.fleet.Ended(aOne.second, AttemptEnd::Answered, aBench.now);
+      aFixture.fleet.FirstToken(aReading.second, aFixture.now);
+      aFixture.fleet.Ended(aReading.second, AttemptEnd::Answered, aFixture.now);
       return true;
     });
   }
 
 private:
-  Duration m_late;
+  Duration m_delay;
   std::vector<std::pair<TimePoint, AttemptId>> m_reading;
 };
 
--- a/src/fleet/tests/coretests.cpp
+++ b/src/fleet/tests/coretests.cpp
@@ -7,75 +7,79 @@
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
-Test(core, APrefixIsReadOnceAndFoundAgain)
+Test(core, ACachedPrefixIsReusedOnTheSameUpstream)
 {
-  Bench bench;
-  bench.List(8);
-  const auto first = bench.Place(bench.Ask(7));
+  FleetFixture fixture;
+  fixture.ListUpstreams(8);
+  const auto first = fixture.Place(fixture.MakeRequest(7));
   cr_assert(first.missingTokens == kPromptTokens);
-  bench.now += 300ms;
-  bench.fleet.FirstToken(first.attempt, bench.now);
-  const auto second = bench.Place(bench.Ask(7));
+  fixture.now += 300ms;
+  fixture.fleet.FirstToken(first.attempt, fixture.now);
+  const auto second = fixture.Place(fixture.MakeRequest(7));
   cr_assert(second.upstream == first.upstream);
   cr_assert(second.missingTokens == double{ kPromptTokens } / 2);
 }
 
-//! The same from the outside: a pause of the callers makes no prefix old.
-Test(core, APrefixOutlastsAPauseInWhichNothingIsRead)
+//! Cached prefixes age by what engines prefill, not by time: a pause in the
+//! traffic must not evict them.
+Test(core, ACachedPrefixIsKeptWhileNothingIsPrefilled)
 {
-  Bench bench;
-  bench.List(8);
-  const auto first = bench.Place(bench.Ask(7));
-  bench.now += 300ms;
-  bench.fleet.FirstToken(first.attempt, bench.now);
+  FleetFixture fixture;
+  fixture.ListUpstreams(8);
+  const auto first = fixture.Place(fixture.MakeRequest(7));
+  fixture.now += 300ms;
+  fixture.fleet.FirstToken(first.attempt, fixture.now);
   for (int i = 0; i < 200; ++i) {
-    bench.now += kReportPeriod;
-    bench.fleet.Tick(bench.now);
+    fixture.now += kReportPeriod;
+    fixture.fleet.Tick(fixture.now);
   }
-  const auto second = bench.Place(bench.Ask(7));
+  const auto second = fixture.Place(fixture.MakeRequest(7));
   cr_assert(second.missingTokens == double{ kPromptTokens } / 2);
 }
 
-Test(core, WhatOtherRoutersSentIsCounted)
+Test(core, LoadReportedByOtherRoutersIsCounted)
 {
-  Bench bench;
-  bench.List(2);
+  FleetFixture fixture;
+  fixture.ListUpstreams(2);
   PeerReport report;
   report.router = "r2";
   report.life = 1;
   report.sequence = 1;
   report.loads = { { UpstreamIdOf("u0"), 50000, 20 } };
-  bench.fleet.Take(report, bench.now);
+  fixture.fleet.Take(report, fixture.now);
   for (std::uint64_t i = 0; i < 10; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u1");
-    bench.fleet.FirstToken(place.attempt, bench.now + 100ms);
+    fixture.fleet.FirstToken(place.attempt, fixture.now + 100ms);
   }
 }
 
-Test(core, APrefixThatAnotherRouterSentIsFoundWhereItIs)
+Test(core, APrefixReportedByAnotherRouterIsReused)
 {
-  Bench bench;
-  bench.List(8);
+  FleetFixture fixture;
+  fixture.ListUpstreams(8);
   PeerReport report;
   report.router = "r2";
   report.life = 1;
   report.sequence = 1;
   report.uses = { { 7, UpstreamIdOf("u3") } };
-  bench.fleet.Take(report, bench.now);
-  const auto place = bench.Place(bench.Ask(7, "w", 8000));
+  fixture.fleet.Take(report, fixture.now);
+  const auto place = fixture.Place(fixture.MakeRequest(7, "w", 8000));
   cr_assert(place.upstreamId == "u3");
   cr_assert(place.missingTokens == 4000);
 }
 
+//! One workspace sends hundreds of requests a second with the same prefix. The
+//! upstream that holds it filled up, and the rest was refused while other
+//! upstreams were idle.
 Test(core, AHotPrefixIsSpreadBeforeItIsRefused)
 {
-  Bench bench;
-  bench.List(8);
+  FleetFixture fixture;
+  fixture.ListUpstreams(8);
   std::map<std::string, int> used;
   int refused = 0;
   for (int i = 0; i < 90; ++i) {
-    const auto place = bench.Place(bench.Ask(7));
+    const auto place = fixture.Place(fixture.MakeRequest(7));
     refused += place.outcome == PlaceOutcome::Refused ? 1 : 0;
     used[place.upstreamId]++;
   }
@@ -83,122 +87,124 @@
   cr_assert(used.size() == 8);
 }
 
-//! The load: more prompts at once than can be read within their target.
-Test(core, ABurstIsRefusedAtOnceOnceItCannotBeInTime)
+//! More prompts arrive at once than can be read within their target.
+Test(core, ABurstIsRefusedOnceItCannotMeetItsTarget)
 {
-  Bench bench;
-  bench.List(2);
+  FleetFixture fixture;
+  fixture.ListUpstreams(2);
   int placed = 0;
   PlaceResult last;
   for (std::uint64_t i = 0; i < 100; ++i) {
-    last = bench.Place(bench.Ask(i));
+    last = fixture.Place(fixture.MakeRequest(i));
     placed += last.outcome == PlaceOutcome::Placed ? 1 : 0;
   }
-  // 0.9 of 800 ms at the prior of 28 tokens a ms, twice.
+  // Two engines that prefill for 0.9 of the 800 ms target, at the initial
+  // estimate of 28 tokens per ms.
   cr_assert(placed >= 10 && placed <= 16, "%d", placed);
   cr_assert(last.outcome == PlaceOutcome::Refused);
   cr_assert(last.retryAfter > 0ms && last.retryAfter <= 1800ms);
 }
 
-Test(core, AVouchedVersionIsProvenByTheEchoOfOurOwnClock)
+Test(core, AReportProvesTheConfigByEchoingOurOwnSendTime)
 {
-  Bench bench;
+  FleetFixture fixture;
   FleetSettings settings{ "r1", "zone-a", 1 };
   settings.revocationBound = 5000ms;
   Fleet fleet(settings);
-  fleet.SetConfig(Config(7));
+  fleet.SetConfig(MakeConfig(7));
   PeerReport report;
   report.router = "r2";
   report.life = 1;
   report.sequence = 1;
   report.configVersion = 7;
   report.configAge = 40ms;
-  fleet.Take(report, bench.now);
-  cr_assert(!fleet.ConfigFreshness().MayUseKeys(bench.now));
+  fleet.Take(report, fixture.now);
+  cr_assert(!fleet.ConfigFreshness().MayUseKeys(fixture.now));
   report.sequence = 2;
   report.heard = {
-    { base::RouterId(base::HashName("r1")), 1, bench.now - 200ms }
+    { base::RouterId(base::HashName("r1")), 1, fixture.now - 200ms }
   };
-  // The datagram may have waited for long: only the echo counts.
-  fleet.Take(report, bench.now + 3000ms);
-  cr_assert(fleet.ConfigFreshness().ProvenAt() == bench.now - 240ms);
+  // The datagram may have been delayed: only the echoed send time counts.
+  fleet.Take(report, fixture.now + 3000ms);
+  cr_assert(fleet.ConfigFreshness().ProvenAt() == fixture.now - 240ms);
   report.sequence = 3;
   report.configVersion = 6;
-  report.heard[0].sentAt = bench.now + 2000ms;
-  fleet.Take(report, bench.now + 3000ms);
-  cr_assert(fleet.ConfigFreshness().ProvenAt() == bench.now - 240ms);
+  report.heard[0].sentAt = fixture.now + 2000ms;
+  fleet.Take(report, fixture.now + 3000ms);
+  cr_assert(fleet.ConfigFreshness().ProvenAt() == fixture.now - 240ms);
 }
 
-Test(core, HowManyRoutersAreBusyIsSummedUp)
+Test(core, TheBusyRatioCoversTheRoutersOfAllReports)
 {
-  Bench bench;
-  cr_assert(bench.fleet.Tell(kBusyAfter + 1ms, bench.now).busy == 1);
-  cr_assert(bench.fleet.Tell(0ms, bench.now).busy == 0);
+  FleetFixture fixture;
+  cr_assert(fixture.fleet.Tell(kBusyAfter + 1ms, fixture.now).busy == 1);
+  cr_assert(fixture.fleet.Tell(0ms, fixture.now).busy == 0);
   PeerReport report;
   report.router = "another";
   report.sequence = 1;
   report.routers = 7;
   report.busy = 1;
-  bench.fleet.Take(report, bench.now);
-  cr_assert(bench.fleet.BusyPart() == 0.25);
+  fixture.fleet.Take(report, fixture.now);
+  cr_assert(fixture.fleet.BusyPart() == 0.25);
 }
 
-//! What a router sent long before it became a hub is no news to anyone.
-Test(core, AHubTellsOnlyWhatWasSentSinceItIsOne)
+//! Prefix uses from before a router became a hub are outdated for its followers
+//! and are not reported to them.
+Test(core, AHubReportsOnlyPrefixUsesSinceItBecameAHub)
 {
-  Bench bench;
-  bench.List(2);
-  bench.Place(bench.Ask(7));
-  auto own = bench.fleet.Tell(0ms, bench.now);
+  FleetFixture fixture;
+  fixture.ListUpstreams(2);
+  fixture.Place(fixture.MakeRequest(7));
+  auto own = fixture.fleet.Tell(0ms, fixture.now);
   cr_assert(own.uses.size() == 1);
   ExchangePlan plan;
   plan.group = 5;
   plan.groupHubs = { { "10.0.0.1", 1 } };
   plan.followers = { { "10.0.0.2", 1 } };
-  bench.fleet.SetPlan(plan);
-  own = bench.fleet.Tell(0ms, bench.now);
-  cr_assert(bench.fleet.TellFleet(own, bench.now).uses.empty());
+  fixture.fleet.SetPlan(plan);
+  own = fixture.fleet.Tell(0ms, fixture.now);
+  cr_assert(fixture.fleet.TellFleet(own, fixture.now).uses.empty());
 }
 
-//! Sums are sent some time after the own report that they are made from: what
-//! they prove must not look newer for that.
-Test(core, ASumThatIsSentLaterProvesNoMore)
+//! Sums are sent some time after the report that they are made from. Their ages
+//! must include that time, or their proof would look too new.
+Test(core, TheAgesOfASumIncludeTheTimeSinceItsReport)
 {
-  Bench bench;
-  bench.fleet.ConfigFreshness().Proven(bench.now - 30ms);
-  auto own = bench.fleet.Tell(0ms, bench.now);
+  FleetFixture fixture;
+  fixture.fleet.ConfigFreshness().Proven(fixture.now - 30ms);
+  auto own = fixture.fleet.Tell(0ms, fixture.now);
   own.readerAge = 200ms;
-  const auto later = bench.now + 60ms;
-  for (const auto& sum : { bench.fleet.TellGroup(own, later),
-                           bench.fleet.TellZone(own, later),
-                           bench.fleet.TellFleet(own, later) }) {
+  const auto later = fixture.now + 60ms;
+  for (const auto& sum : { fixture.fleet.TellGroup(own, later),
+                           fixture.fleet.TellZone(own, later),
+                           fixture.fleet.TellFleet(own, later) }) {
     cr_assert(own.configAge == 30ms && sum.configAge == 90ms);
     cr_assert(sum.readerAge == 260ms);
     cr_assert(sum.sentAt == later);
   }
 }
 
-Test(core, ConfigurationNeverGoesBack)
+Test(core, AnOlderOrEqualConfigVersionIsRejected)
 {
-  Bench bench;
-  cr_assert(bench.fleet.SetConfig(Config(5)));
-  cr_assert(!bench.fleet.SetConfig(Config(4)));
-  cr_assert(!bench.fleet.SetConfig(Config(5)));
-  cr_assert(bench.fleet.ConfigVersion() == 5);
+  FleetFixture fixture;
+  cr_assert(fixture.fleet.SetConfig(MakeConfig(5)));
+  cr_assert(!fixture.fleet.SetConfig(MakeConfig(4)));
+  cr_assert(!fixture.fleet.SetConfig(MakeConfig(5)));
+  cr_assert(fixture.fleet.ConfigVersion() == 5);
 }
 
-Test(core, APlainServiceIsSharedOutByWhatRuns)
+Test(core, PlainCallsAreBalancedByRunningCalls)
 {
-  Bench bench;
-  bench.List(0, 4);
-  auto request = bench.Ask(1);
+  FleetFixture fixture;
+  fixture.ListUpstreams(0, 4);
+  auto request = fixture.MakeRequest(1);
   Work none;
   request.work = &none;
   request.service = "plain";
   std::map<std::string, int> counts;
   for (std::uint64_t i = 0; i < 24; ++i) {
     request.key = i * 7919;
-    const auto place = bench.fleet.Place(request, bench.now);
+    const auto place = fixture.fleet.Place(request, fixture.now);
     cr_assert(place.outcome == PlaceOutcome::Placed);
     counts[place.upstreamId]++;
   }
--- a/src/fleet/tests/crashingfleet.cpp
+++ b/src/fleet/tests/crashingfleet.cpp
@@ -8,15 +8,17 @@
 
 namespace {
 
-constexpr Duration kLookPeriod{ 20 };
-constexpr Duration kUntilLapse{ 2400 }; //!< of a crashed engine's entry
-constexpr Duration kUntilReplaced{ 3000 };
-constexpr Duration kNewsDelay{ 5 };
-constexpr Duration kUntilAgain{ 200 };
-constexpr std::size_t kMostRuns = 2; //!< of one request
+constexpr Duration kCheckInterval{ 20 };
+constexpr Duration kEntryRemovalDelay{
+  2400
+}; //!< until a crashed engine's entry is removed
+constexpr Duration kReplacementDelay{ 3000 };
+constexpr Duration kReportDelay{ 5 };
+constexpr Duration kResubmitDelay{ 200 };
+constexpr std::size_t kMaxAttempts = 2; //!< of a request by one router
 
 ConfigPtr
-EnginesOnly()
+EngineConfig()
 {
   auto config = std::make_shared<FleetConfig>();
   config->version = 1;
@@ -30,7 +32,7 @@
 }
 
 CrashingFleet::CrashingFleet(std::size_t aRouters, int aEngines)
-  : m_routers(kNewsDelay)
+  : m_routers(kReportDelay)
 {
   m_route.kind = CallKind::Stream;
   m_route.resumable = true;
@@ -49,21 +51,21 @@
 std::size_t
 CrashingFleet::StartRouter()
 {
-  const auto number = m_routers.Size();
-  auto& fleet = m_routers.Add({ "r" + std::to_string(number), "zone-a", 1 });
-  fleet.SetConfig(EnginesOnly());
+  const auto index = m_routers.Size();
+  auto& fleet = m_routers.Add({ "r" + std::to_string(index), "zone-a", 1 });
+  fleet.SetConfig(EngineConfig());
   FollowList(fleet);
-  m_routers.StartReports(number,
-                         Duration(static_cast<std::int64_t>(7 * number) % 100));
-  Look(number);
-  return number;
+  m_routers.StartReports(index,
+                         Duration(static_cast<std::int64_t>(7 * index) % 100));
+  CheckUpstreams(index);
+  return index;
 }
 
 void
 CrashingFleet::FollowList(Fleet& aFleet)
 {
   std::vector<UpstreamEntry> entries;
-  for (const auto& [id, entry] : m_listed) {
+  for (const auto& [id, entry] : m_entries) {
     entries.push_back(entry);
   }
   aFleet.Upstreams().Replace(entries, Now());
@@ -74,11 +76,11 @@
 CrashingFleet::AddEngine()
 {
   UpstreamEntry entry;
-  entry.id = "e" + std::to_string(m_engines++);
+  entry.id = "e" + std::to_string(m_engineCount++);
   entry.service = "engines";
   entry.slots = 64;
   entry.zone = "zone-a";
-  m_listed[entry.id] = entry;
+  m_entries[entry.id] = entry;
   m_alive.insert(UpstreamIdOf(entry));
   for (std::size_t i = 0; i < m_routers.Size(); ++i) {
     FollowList(m_routers.At(i));
@@ -89,7 +91,7 @@
 CrashingFleet::Engines() const
 {
   std::vector<std::string> alive;
-  for (const auto& [id, entry] : m_listed) {
+  for (const auto& [id, entry] : m_entries) {
     if (IsAlive(UpstreamIdOf(entry))) {
       alive.push_back(id);
     }
@@ -103,51 +105,53 @@
   return m_alive.contains(aUpstream);
 }
 
-//! Each router looks by itself whether engines still listen.
+//! Answers the upstream checks that the router asks for, and repeats itself.
+//! Each router checks independently whether engines still listen.
 void
-CrashingFleet::Look(std::size_t aRouter)
+CrashingFleet::CheckUpstreams(std::size_t aRouter)
 {
   auto& fleet = m_routers.At(aRouter);
-  for (const auto& due : fleet.UpstreamsToCheck(Now())) {
-    fleet.Checked(due.upstream,
-                  IsAlive(due.upstream) ? quarantine::CheckResult::Lives
-                                        : quarantine::CheckResult::Crashed,
+  for (const auto& check : fleet.UpstreamsToCheck(Now())) {
+    fleet.Checked(check.upstream,
+                  IsAlive(check.upstream) ? quarantine::CheckResult::Lives
+                                          : quarantine::CheckResult::Crashed,
                   Now());
   }
-  m_routers.Later(Now() + kLookPeriod, [this, aRouter] { Look(aRouter); });
+  m_routers.Schedule(Now() + kCheckInterval,
+                     [this, aRouter] { CheckUpstreams(aRouter); });
 }
 
 void
-CrashingFleet::Come(std::size_t aRouter,
-                    RequestFingerprint aRequest,
-                    Duration aRuns)
+CrashingFleet::Submit(std::size_t aRouter,
+                      RequestFingerprint aRequest,
+                      Duration aRunTime)
 {
-  Running run;
+  RunningAttempt run;
   run.router = aRouter;
   run.request = aRequest;
-  run.runs = aRuns;
+  run.runTime = aRunTime;
   Send(run);
 }
 
 void
-CrashingFleet::ComeCrashing(std::size_t aRouter, RequestFingerprint aRequest)
+CrashingFleet::SubmitCrashing(std::size_t aRouter, RequestFingerprint aRequest)
 {
-  Running run;
+  RunningAttempt run;
   run.router = aRouter;
   run.request = aRequest;
-  run.runs = kUntilCrash;
+  run.runTime = kCrashDelay;
   run.crashes = true;
   Send(run);
 }
 
 void
-CrashingFleet::Send(Running aRun)
+CrashingFleet::Send(RunningAttempt aRun)
 {
   PlaceRequest request;
   request.route = &m_route;
   request.work = &m_work;
   request.service = "engines";
-  request.key = ++m_requests;
+  request.key = ++m_requestCount;
   request.fingerprint = aRun.request;
   request.timeLeft = Duration(4000);
   request.avoid = aRun.tried;
@@ -158,7 +162,7 @@
     return;
   }
   if (aRun.crashes) {
-    m_sends.push_back(Now());
+    m_crashingSends.push_back(Now());
   }
   aRun.attempt = place.attempt;
   aRun.upstream = place.upstream;
@@ -166,84 +170,86 @@
   if (!IsAlive(place.upstream)) {
     m_routers.At(aRun.router)
       .Ended(aRun.attempt, AttemptEnd::Unreachable, Now());
-    Send(aRun); // what was never sent is tried elsewhere at once
+    Send(aRun); // never sent, so it is retried elsewhere at once
     return;
   }
-  m_runs.push_back(aRun);
+  m_running.push_back(aRun);
   const auto attempt = aRun.attempt;
   const auto router = aRun.router;
-  m_routers.Later(Now() + aRun.runs, [this, router, attempt] {
-    const auto run =
-      std::find_if(m_runs.begin(), m_runs.end(), [&](const Running& aOne) {
-        return aOne.router == router && aOne.attempt == attempt;
+  m_routers.Schedule(Now() + aRun.runTime, [this, router, attempt] {
+    const auto run = std::find_if(
+      m_running.begin(), m_running.end(), [&](const RunningAttempt& aOther) {
+        return aOther.router == router && aOther.attempt == attempt;
       });
-    if (run != m_runs.end()) {
+    if (run != m_running.end()) {
       End(run);
     }
   });
 }
 
 void
-CrashingFleet::End(std::list<Running>::iterator aRun)
+CrashingFleet::End(std::list<RunningAttempt>::iterator aRun)
 {
   if (aRun->crashes) {
     m_crashes.push_back(Now());
-    CrashUnder(aRun->upstream);
+    CrashEngine(aRun->upstream);
     return;
   }
   m_served++;
   m_routers.At(aRun->router).Ended(aRun->attempt, AttemptEnd::Answered, Now());
-  m_runs.erase(aRun);
+  m_running.erase(aRun);
 }
 
 void
 CrashingFleet::Crash(const std::string& aEngine)
 {
-  CrashUnder(UpstreamIdOf(m_listed.at(aEngine)));
+  CrashEngine(UpstreamIdOf(m_entries.at(aEngine)));
 }
 
 void
-CrashingFleet::CrashUnder(UpstreamId aUpstream)
+CrashingFleet::CrashEngine(UpstreamId aUpstream)
 {
   m_alive.erase(aUpstream);
-  std::vector<Running> broken;
-  std::erase_if(m_runs, [&](const Running& aRun) {
-    const bool there = aRun.upstream == aUpstream;
-    if (there) {
+  std::vector<RunningAttempt> broken;
+  std::erase_if(m_running, [&](const RunningAttempt& aRun) {
+    const bool onUpstream = aRun.upstream == aUpstream;
+    if (onUpstream) {
       broken.push_back(aRun);
     }
-    return there;
+    return onUpstream;
   });
   for (const auto& run : broken) {
-    Broken(run);
+    HandleBroken(run);
   }
-  for (const auto& [id, entry] : m_listed) {
+  for (const auto& [id, entry] : m_entries) {
     if (UpstreamIdOf(entry) == aUpstream) {
-      m_routers.Later(Now() + kUntilLapse, [this, id = id] { Remove(id); });
+      m_routers.Schedule(Now() + kEntryRemovalDelay,
+                         [this, id = id] { Remove(id); });
     }
   }
-  m_routers.Later(Now() + kUntilReplaced, [this] { AddEngine(); });
+  m_routers.Schedule(Now() + kReplacementDelay, [this] { AddEngine(); });
 }
 
 void
-CrashingFleet::Broken(const Running& aRun)
+CrashingFleet::HandleBroken(const RunningAttempt& aRun)
 {
   m_routers.At(aRun.router).Ended(aRun.attempt, AttemptEnd::Broken, Now());
-  if (aRun.tried.size() < kMostRuns) {
+  if (aRun.tried.size() < kMaxAttempts) {
     Send(aRun);
   } else if (!aRun.crashes) {
     const auto router = (aRun.router + 1) % m_routers.Size();
-    m_routers.Later(Now() + kUntilAgain,
-                    [this, router, request = aRun.request, runs = aRun.runs] {
-                      Come(router, request, runs);
-                    });
+    m_routers.Schedule(
+      Now() + kResubmitDelay,
+      [this, router, request = aRun.request, runTime = aRun.runTime] {
+        Submit(router, request, runTime);
+      });
   }
 }
 
 void
 CrashingFleet::Remove(const std::string& aEngine)
 {
-  m_listed.erase(aEngine);
+  m_entries.erase(aEngine);
   for (std::size_t i = 0; i < m_routers.Size(); ++i) {
     FollowList(m_routers.At(i));
   }
--- a/src/fleet/tests/crashingfleet.h
+++ b/src/fleet/tests/crashingfleet.h
@@ -11,8 +11,9 @@
 
 namespace hemlockgauge::fleet {
 
-//! Routers before engines, some requests to which crash the engine that runs
-//! them. A crashed engine is replaced, under a new id, after some seconds.
+//! Simulates routers in front of engines, where some requests crash the engine
+//! that runTime them. A crashed engine is replaced, under a new id, after some
+//! seconds.
 class CrashingFleet
 {
 public:
@@ -21,63 +22,68 @@
   ModelFleet& Routers() { return m_routers; }
   TimePoint Now() const { return m_routers.Now(); }
   void Run(Duration aLength) { m_routers.Run(aLength); }
-  //! One more router, that knows nothing but the engines. Returns its number.
+  //! Adds a router that knows only the engines. Returns its index.
   std::size_t StartRouter();
 
-  //! A request comes to a router. Ordinary ones run for aRuns; if their engine
-  //! crashes they are sent once more to another one, and when that one crashes
-  //! too they come again, to another router.
-  void Come(std::size_t aRouter, RequestFingerprint aRequest, Duration aRuns);
-  //! The same for one that crashes its engine after kUntilCrash.
-  void ComeCrashing(std::size_t aRouter, RequestFingerprint aRequest);
-  //! An engine ends by itself.
+  //! Sends an ordinary request, which runTime for aRunTime, to a router. If its
+  //! engine crashes it is retried once on another engine. If that one crashes
+  //! too, its caller sends it again, to the next router.
+  void Submit(std::size_t aRouter,
+              RequestFingerprint aRequest,
+              Duration aRunTime);
+  //! Sends a request that crashes its engine after kCrashDelay.
+  void SubmitCrashing(std::size_t aRouter, RequestFingerprint aRequest);
+  //! Crashes an engine that no request is to blame for.
   void Crash(const std::string& aEngine);
   std::vector<std::string> Engines() const;
 
-  //! When engines were sent a crashing request.
-  const std::vector<TimePoint>& CrashingSends() const { return m_sends; }
-  //! When engines crashed under such.
+  //! When crashing requests were sent to engines.
+  const std::vector<TimePoint>& CrashingSends() const
+  {
+    return m_crashingSends;
+  }
+  //! When engines crashed because of a request.
   const std::vector<TimePoint>& Crashes() const { return m_crashes; }
-  //! Ordinary requests that were not placed, and those that ended well.
+  //! Counts of ordinary requests that were not placed, and that were answered.
   int Refused() const { return m_refused; }
   int Served() const { return m_served; }
 
-  static constexpr Duration kUntilCrash{ 100 };
+  static constexpr Duration kCrashDelay{ 100 };
 
 private:
-  struct Running
+  struct RunningAttempt
   {
     std::size_t router = 0;
     AttemptId attempt = 0;
     UpstreamId upstream{};
     RequestFingerprint request{};
-    Duration runs{};
+    Duration runTime{};
     bool crashes = false;
     std::vector<UpstreamId> tried;
   };
 
-  void Send(Running aRun);
-  void End(std::list<Running>::iterator aRun);
-  void Broken(const Running& aRun);
-  void CrashUnder(UpstreamId aUpstream);
+  void Send(RunningAttempt aRun);
+  void End(std::list<RunningAttempt>::iterator aRun);
+  void HandleBroken(const RunningAttempt& aRun);
+  void CrashEngine(UpstreamId aUpstream);
   void AddEngine();
   void Remove(const std::string& aEngine);
-  void Look(std::size_t aRouter);
+  void CheckUpstreams(std::size_t aRouter);
   void FollowList(Fleet& aFleet);
   bool IsAlive(UpstreamId aUpstream) const;
 
   ModelFleet m_routers;
   Route m_route;
   Work m_work;
-  std::map<std::string, UpstreamEntry> m_listed;
+  std::map<std::string, UpstreamEntry> m_entries;
   std::set<UpstreamId> m_alive;
-  std::list<Running> m_runs;
-  std::vector<TimePoint> m_sends;
+  std::list<RunningAttempt> m_running;
+  std::vector<TimePoint> m_crashingSends;
   std::vector<TimePoint> m_crashes;
   int m_refused = 0;
   int m_served = 0;
-  int m_engines = 0;
-  std::uint64_t m_requests = 0;
+  int m_engineCount = 0;
+  std::uint64_t m_requestCount = 0;
 };
 
 }
--- a/src/fleet/tests/evacuationtests.cpp
+++ b/src/fleet/tests/evacuationtests.cpp
@@ -3,7 +3,8 @@
 
 #include <criterion/criterion.h>
 
-//! Evacuated availability zones: what is believed of them and what goes there.
+//! Evacuated availability zones: when an evacuation begins and ends, and that
+//! upstreams of such a zone get no new requests.
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
@@ -11,9 +12,9 @@
 
 const std::vector<std::string> kZones{ "zone-a", "zone-b", "zone-c" };
 
-//! Nine engines and three plain upstreams in three zones.
+//! Lists nine engines and three plain upstreams in three zones.
 void
-ListZones(Bench& aBench)
+ListUpstreamsOfZones(FleetFixture& aFixture)
 {
   std::vector<UpstreamEntry> entries;
   for (std::size_t i = 0; i < 12; ++i) {
@@ -24,43 +25,43 @@
     entry.zone = kZones[i % kZones.size()];
     entries.push_back(entry);
   }
-  aBench.fleet.Upstreams().Replace(entries, aBench.now);
-  aBench.fleet.FollowUpstreams(aBench.now);
+  aFixture.fleet.Upstreams().Replace(entries, aFixture.now);
+  aFixture.fleet.FollowUpstreams(aFixture.now);
 }
 
 void
-Evacuate(Bench& aBench, const std::string& aZone)
+Evacuate(FleetFixture& aFixture, const std::string& aZone)
 {
-  aBench.fleet.Evacuated().Put({ aZone, 7 }, aBench.now);
-  aBench.fleet.FollowUpstreams(aBench.now);
+  aFixture.fleet.Evacuated().Put({ aZone, 7 }, aFixture.now);
+  aFixture.fleet.FollowUpstreams(aFixture.now);
 }
 
 void
-Restore(Bench& aBench, const std::string& aZone)
+Restore(FleetFixture& aFixture, const std::string& aZone)
 {
-  aBench.fleet.Evacuated().Remove(aZone);
-  aBench.fleet.Evacuated().Proven(aBench.now);
-  aBench.fleet.FollowUpstreams(aBench.now);
+  aFixture.fleet.Evacuated().Remove(aZone);
+  aFixture.fleet.Evacuated().Proven(aFixture.now);
+  aFixture.fleet.FollowUpstreams(aFixture.now);
 }
 
 std::string
-ZoneOf(const Bench& aBench, const std::string& aUpstream)
+ZoneOf(const FleetFixture& aFixture, const std::string& aUpstream)
 {
-  return aBench.fleet.Upstreams().Entries().at(aUpstream).zone;
+  return aFixture.fleet.Upstreams().Entries().at(aUpstream).zone;
 }
 
 PlaceRequest
-PlainCall(Bench& aBench)
+MakePlainRequest(FleetFixture& aFixture)
 {
-  auto request = aBench.Ask(1);
-  aBench.work = Work{};
+  auto request = aFixture.MakeRequest(1);
+  aFixture.work = Work{};
   request.service = "plain";
   return request;
 }
 
 }
 
-Test(evacuations, OneCountsAsSoonAsItIsTold)
+Test(evacuations, AnEvacuationIsInForceOnceItIsReported)
 {
   Evacuations zones;
   const auto notices = zones.Put({ "zone-a", 5 }, 100ms);
@@ -70,8 +71,9 @@
   cr_assert(zones.Put({ "zone-a", 5 }, 120ms).empty());
 }
 
-//! A source that was cut off from the store before the evacuation tells none.
-Test(evacuations, ASourceWithOlderProofEndsNone)
+//! A source that was cut off from the store before the evacuation does not
+//! report it.
+Test(evacuations, ASourceWithOlderProofEndsNoEvacuation)
 {
   Evacuations zones;
   zones.Put({ "zone-a", 5 }, 1000ms);
@@ -84,7 +86,7 @@
   cr_assert(!zones.Contains("zone-a"));
 }
 
-//! A watch was asked before both, and tells both in one answer.
+//! A watch that was sent before both changes returns both in one answer.
 Test(evacuations, EvacuatedAndRestoredInOneAnswerEndsWithTheNextProof)
 {
   Evacuations zones;
@@ -94,7 +96,7 @@
   cr_assert(zones.Proven(1001ms).size() == 1);
 }
 
-Test(evacuations, OneThatIsToldAgainGoesOn)
+Test(evacuations, AnEvacuationThatIsReportedAgainStaysInForce)
 {
   Evacuations zones;
   zones.Put({ "zone-a", 5 }, 1000ms);
@@ -102,11 +104,11 @@
   cr_assert(zones.Proven(2000ms).empty());
   cr_assert(zones.InForce().size() == 1);
   cr_assert(zones.InForce()[0].revision == 9);
-  zones.Remove("zone-b"); // was never told
+  zones.Remove("zone-b"); // was never reported
   cr_assert(zones.Proven(2100ms).empty());
 }
 
-Test(newslog, EvacuationsAreToldToFollowersAndStrangers)
+Test(storechangelog, EvacuationsAreSentToKnownAndNewFollowers)
 {
   NewsLog log(7);
   log.SetUpstreams({});
@@ -124,107 +126,111 @@
   cr_assert(log.HasNews({ second.life, second.sequence, 0 }));
 }
 
-//! First tries, retries and requests of no prompt alike.
-Test(core, AnEvacuatedZoneGetsNothingNew)
+//! Covers first attempts, retries and requests without a prompt.
+Test(core, AnEvacuatedZoneGetsNoNewRequests)
 {
-  Bench bench;
-  ListZones(bench);
-  Evacuate(bench, "zone-b");
+  FleetFixture fixture;
+  ListUpstreamsOfZones(fixture);
+  Evacuate(fixture, "zone-b");
   for (std::uint64_t i = 0; i < 60; ++i) {
-    auto request = i % 3 == 0 ? PlainCall(bench) : bench.Ask(i);
+    auto request =
+      i % 3 == 0 ? MakePlainRequest(fixture) : fixture.MakeRequest(i);
     request.admitted = i % 2 == 0;
-    const auto place = bench.Place(request);
+    const auto place = fixture.Place(request);
     cr_assert(place.outcome == PlaceOutcome::Placed);
-    cr_assert(ZoneOf(bench, place.upstreamId) != "zone-b");
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    cr_assert(ZoneOf(fixture, place.upstreamId) != "zone-b");
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
 }
 
-//! What runs there ends as if nothing had happened, and teaches the same.
-Test(core, WhatRunsInAnEvacuatedZoneEndsThere)
+//! Requests that already run in the zone end, and are learned from, as usual.
+Test(core, RequestsThatRunInAnEvacuatedZoneEndNormally)
 {
-  Bench bench;
-  bench.List(1);
-  const auto place = bench.Place(bench.Ask(7));
-  Evacuate(bench, "zone-a");
-  bench.fleet.FirstToken(place.attempt, bench.now);
-  cr_assert(!bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now));
-  cr_assert(bench.fleet.Status(bench.now).at(0).running == 0);
-  cr_assert(bench.fleet.Status(bench.now).at(0).evacuated);
+  FleetFixture fixture;
+  fixture.ListUpstreams(1);
+  const auto place = fixture.Place(fixture.MakeRequest(7));
+  Evacuate(fixture, "zone-a");
+  fixture.fleet.FirstToken(place.attempt, fixture.now);
+  cr_assert(
+    !fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now));
+  cr_assert(fixture.fleet.Status(fixture.now).at(0).running == 0);
+  cr_assert(fixture.fleet.Status(fixture.now).at(0).evacuated);
 }
 
-//! There is no fallback to upstreams that are to get nothing.
+//! Upstreams of evacuated zones are not used as a fallback.
 Test(core, WithAllZonesEvacuatedARequestIsRefusedAtOnce)
 {
-  Bench bench;
-  ListZones(bench);
+  FleetFixture fixture;
+  ListUpstreamsOfZones(fixture);
   for (const auto& zone : kZones) {
-    Evacuate(bench, zone);
+    Evacuate(fixture, zone);
   }
-  const auto place = bench.Place(bench.Ask(7));
+  const auto place = fixture.Place(fixture.MakeRequest(7));
   cr_assert(place.outcome == PlaceOutcome::NoUpstream);
   cr_assert(place.suitability == Suitability::Evacuated);
   cr_assert(place.retryAfter == kNoUpstreamWaitMost);
-  Restore(bench, "zone-c");
-  const auto after = bench.Place(bench.Ask(7));
-  cr_assert(after.outcome == PlaceOutcome::Placed);
-  cr_assert(ZoneOf(bench, after.upstreamId) == "zone-c");
+  Restore(fixture, "zone-c");
+  const auto placed = fixture.Place(fixture.MakeRequest(7));
+  cr_assert(placed.outcome == PlaceOutcome::Placed);
+  cr_assert(ZoneOf(fixture, placed.upstreamId) == "zone-c");
 }
 
-//! Upstreams that failed come in where there are no others; not these.
-Test(core, AnEvacuatedZoneIsNoResortForAServiceThatFails)
+//! Upstreams that failed are used where no others are left; those of evacuated
+//! zones are not.
+Test(core, AnEvacuatedZoneIsNoFallbackForAFailingService)
 {
-  Bench bench;
-  ListZones(bench);
-  Evacuate(bench, "zone-a");
-  Evacuate(bench, "zone-b");
+  FleetFixture fixture;
+  ListUpstreamsOfZones(fixture);
+  Evacuate(fixture, "zone-a");
+  Evacuate(fixture, "zone-b");
   for (std::uint64_t i = 0; i < 40; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     if (place.outcome == PlaceOutcome::Placed) {
-      cr_assert(ZoneOf(bench, place.upstreamId) == "zone-c");
-      bench.fleet.Ended(place.attempt, AttemptEnd::Unreachable, bench.now);
+      cr_assert(ZoneOf(fixture, place.upstreamId) == "zone-c");
+      fixture.fleet.Ended(place.attempt, AttemptEnd::Unreachable, fixture.now);
     }
   }
 }
 
-Test(core, AnUnknownZoneIsEvacuatedWithoutHarm)
+Test(core, EvacuatingAnUnknownZoneChangesNothing)
 {
-  Bench bench;
-  ListZones(bench);
-  Evacuate(bench, "zone-x");
-  cr_assert(bench.fleet.UpstreamsOfZone("zone-x") == 0);
-  cr_assert(bench.Place(bench.Ask(7)).outcome == PlaceOutcome::Placed);
+  FleetFixture fixture;
+  ListUpstreamsOfZones(fixture);
+  Evacuate(fixture, "zone-x");
+  cr_assert(fixture.fleet.UpstreamsOfZone("zone-x") == 0);
+  cr_assert(fixture.Place(fixture.MakeRequest(7)).outcome ==
+            PlaceOutcome::Placed);
 }
 
-//! An upstream that is listed only after its zone was evacuated.
-Test(core, AnUpstreamThatStartsInAnEvacuatedZoneGetsNothing)
+//! The upstreams are listed only placed their zone was evacuated.
+Test(core, AnUpstreamThatStartsInAnEvacuatedZoneGetsNoRequests)
 {
-  Bench bench;
-  Evacuate(bench, "zone-b");
-  ListZones(bench);
+  FleetFixture fixture;
+  Evacuate(fixture, "zone-b");
+  ListUpstreamsOfZones(fixture);
   for (std::uint64_t i = 0; i < 30; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
-    cr_assert(ZoneOf(bench, place.upstreamId) != "zone-b");
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    const auto place = fixture.Place(fixture.MakeRequest(i));
+    cr_assert(ZoneOf(fixture, place.upstreamId) != "zone-b");
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
 }
 
-//! Engines of an evacuated zone give no prompt memory either.
+//! Engines of an evacuated zone are no source of KV cache copies either.
 Test(core, NothingIsCopiedFromAnEvacuatedZone)
 {
-  Bench bench;
-  auto config = std::make_shared<FleetConfig>(*Config(2));
+  FleetFixture fixture;
+  auto config = std::make_shared<FleetConfig>(*MakeConfig(2));
   auto& service = config->services["engines"];
   service.memoryTokens = 200000;
   service.bytesPerToken = 1000;
   service.copyMbps = 400000;
-  bench.fleet.SetConfig(config);
-  ListZones(bench);
-  const auto first = bench.Place(bench.Ask(7, "w", 12000));
-  bench.fleet.FirstToken(first.attempt, bench.now);
-  Evacuate(bench, ZoneOf(bench, first.upstreamId));
-  const auto second = bench.Place(bench.Ask(7, "w", 12000));
+  fixture.fleet.SetConfig(config);
+  ListUpstreamsOfZones(fixture);
+  const auto first = fixture.Place(fixture.MakeRequest(7, "w", 12000));
+  fixture.fleet.FirstToken(first.attempt, fixture.now);
+  Evacuate(fixture, ZoneOf(fixture, first.upstreamId));
+  const auto second = fixture.Place(fixture.MakeRequest(7, "w", 12000));
   cr_assert(second.outcome == PlaceOutcome::Placed);
   cr_assert(second.copiedTokens == 0);
-  Restore(bench, ZoneOf(bench, first.upstreamId));
+  Restore(fixture, ZoneOf(fixture, first.upstreamId));
 }
--- a/src/fleet/tests/exchangetests.cpp
+++ b/src/fleet/tests/exchangetests.cpp
@@ -25,7 +25,7 @@
            7400 };
 }
 
-//! One router's membership and view, without a socket.
+//! A router's membership, view of the fleet and quarantine, without a socket.
 struct Router
 {
   Router(int aIndex, int aZones, const std::vector<base::Address>& aSeeds)
@@ -45,16 +45,16 @@
   std::uint64_t sequence = 0;
   bool alive = true;
   std::vector<base::Address> relays;
-  int sent = 0;
-  int got = 0;
+  int sentDatagrams = 0;
+  int receivedDatagrams = 0;
 };
 
-//! Routers that exchange reports through a network that loses some. Each
-//! has one request running at the one upstream there is.
-class Net
+//! Routers that exchange reports through a network that loses some of them.
+//! Each router has one request running at the only upstream.
+class SimulatedNetwork
 {
 public:
-  Net(int aRouters, int aZones)
+  SimulatedNetwork(int aRouters, int aZones)
   {
     const std::vector<base::Address> seeds{ AddressOf(0), AddressOf(1) };
     for (int i = 0; i < aRouters; ++i) {
@@ -68,7 +68,7 @@
     now += kReportPeriod;
     for (auto& router : routers) {
       if (router->alive) {
-        Tell(*router);
+        SendReports(*router);
       }
     }
   }
@@ -80,18 +80,19 @@
     }
   }
 
-  std::uint32_t Seen(const Router& aRouter) const
+  //! Running requests of other routers that aRouter knows of.
+  std::uint32_t RunningElsewhere(const Router& aRouter) const
   {
     return aRouter.view.LoadOf(UpstreamId(1)).running;
   }
 
   TimePoint now{ 1000000 };
-  double loss = 0;
-  int betweenZones = 0; //!< zone sums sent
+  double lossRatio = 0;
+  int crossZoneSums = 0; //!< zone sums to other zones
   std::vector<std::unique_ptr<Router>> routers;
 
 private:
-  void Tell(Router& aRouter)
+  void SendReports(Router& aRouter)
   {
     aRouter.members.Forget(now);
     aRouter.view.Forget(now);
@@ -117,7 +118,7 @@
     Send(aRouter, own, plan.tell);
     if (plan.SumsUp()) {
       Send(aRouter, aRouter.view.GroupSum(own, now), plan.hubs);
-      TellOtherZones(aRouter, plan, own);
+      SendZoneSum(aRouter, plan, own);
       if (plan.TellsFollowers(
             static_cast<std::uint64_t>(now / kReportPeriod))) {
         Send(aRouter, aRouter.view.FleetSum(own, now), plan.followers);
@@ -128,9 +129,9 @@
     Send(aRouter, greeting, aRouter.members.SeedsToTell(now));
   }
 
-  void TellOtherZones(Router& aRouter,
-                      const ExchangePlan& aPlan,
-                      const PeerReport& aOwn)
+  void SendZoneSum(Router& aRouter,
+                   const ExchangePlan& aPlan,
+                   const PeerReport& aOwn)
   {
     aRouter.relays = aPlan.relays;
     if (!aPlan.Speaks(aOwn.sequence)) {
@@ -142,7 +143,7 @@
       sum.members = aRouter.members.KnownOfZone(aRouter.zone, now);
     }
     const auto contacts = aPlan.ZoneContacts(aOwn.sequence);
-    betweenZones += static_cast<int>(contacts.size());
+    crossZoneSums += static_cast<int>(contacts.size());
     Send(aRouter, sum, contacts);
   }
 
@@ -151,9 +152,10 @@
             const std::vector<base::Address>& aTo)
   {
     for (const auto& address : aTo) {
-      aFrom.sent++;
+      aFrom.sentDatagrams++;
       const auto found = m_byAddress.find(address.Text());
-      const bool lost = std::uniform_real_distribution<>(0, 1)(m_random) < loss;
+      const bool lost =
+        std::uniform_real_distribution<>(0, 1)(m_random) < lossRatio;
       if (found == m_byAddress.end() || !found->second->alive || lost) {
         continue;
       }
@@ -163,7 +165,7 @@
 
   void Deliver(Router& aFrom, const PeerReport& aReport, Router& aTo)
   {
-    aTo.got++;
+    aTo.receivedDatagrams++;
     if (!aReport.relayed) {
       aTo.members.Heard(aFrom.address, aReport.zone, now);
     }
@@ -189,10 +191,11 @@
 
 Test(exchange, SevenRoutersSeeEachOtherDirectly)
 {
-  Net net(7, 3);
+  SimulatedNetwork net(7, 3);
   net.Steps(30);
   for (const auto& router : net.routers) {
-    cr_assert(net.Seen(*router) == 6, "%u", net.Seen(*router));
+    cr_assert(
+      net.RunningElsewhere(*router) == 6, "%u", net.RunningElsewhere(*router));
     cr_assert(router->view.Routers() == 6);
   }
 }
@@ -200,40 +203,43 @@
 Test(exchange, ManyRoutersSeeTheWholeFleetWithFewDatagrams)
 {
   for (const int size : { 30, 89, 320 }) {
-    Net net(size, 4);
+    SimulatedNetwork net(size, 4);
     net.Steps(60);
     for (auto& router : net.routers) {
-      router->sent = 0;
-      router->got = 0;
+      router->sentDatagrams = 0;
+      router->receivedDatagrams = 0;
     }
     net.Steps(20);
     for (const auto& router : net.routers) {
-      const auto seen = static_cast<int>(net.Seen(*router));
+      const auto seen = static_cast<int>(net.RunningElsewhere(*router));
       cr_assert(std::abs(seen - (size - 1)) <= 1, "%d of %d", seen, size);
-      // The largest part is a hub's: its group, and two hubs a group.
+      // A hub sends most: to its group and to two hubs of each other group.
       const int groups = (size + 23) / 24 + 4;
-      cr_assert(router->sent <= 20 * (26 + 2 * groups), "%d", router->sent);
+      cr_assert(router->sentDatagrams <= 20 * (26 + 2 * groups),
+                "%d",
+                router->sentDatagrams);
     }
   }
 }
 
-//! The load: hundreds of routers. What crosses zones grows with the zones, not
-//! with the routers or their groups.
-Test(exchange, WhatCrossesZonesDoesNotGrowWithTheFleet)
+//! In fleets of up to hundreds of routers, the sums that cross zones must grow
+//! with the number of zones, not with that of routers or groups.
+Test(exchange, CrossZoneSumsDoNotGrowWithTheFleet)
 {
   for (const int size : { 30, 89, 320 }) {
-    Net net(size, 4);
+    SimulatedNetwork net(size, 4);
     net.Steps(60);
-    net.betweenZones = 0;
+    net.crossZoneSums = 0;
     net.Steps(20);
-    cr_assert(net.betweenZones <= 20 * 4 * 3, "%d", net.betweenZones);
+    cr_assert(net.crossZoneSums <= 20 * 4 * 3, "%d", net.crossZoneSums);
   }
 }
 
-//! A speaker is lost: until that is known the other one tells half as often.
-Test(exchange, ALostSpeakerLeavesNoGap)
+//! A zone's representative is lost. Until the others notice, the remaining one
+//! sends the zone's sum half as often.
+Test(exchange, ALostZoneRepresentativeLeavesNoGap)
 {
-  Net net(89, 4);
+  SimulatedNetwork net(89, 4);
   net.Steps(60);
   for (auto& router : net.routers) {
     const auto plan = router->members.Plan(net.now);
@@ -245,45 +251,47 @@
   for (int i = 0; i < 60; ++i) {
     net.Step();
     for (const auto& router : net.routers) {
-      cr_assert(!router->alive || net.Seen(*router) >= 85,
-                "%u after %d",
-                net.Seen(*router),
+      cr_assert(!router->alive || net.RunningElsewhere(*router) >= 85,
+                "%u running known after %d steps",
+                net.RunningElsewhere(*router),
                 i);
     }
   }
 }
 
-//! Two hubs that each told all that the other told made half of all bytes.
-Test(exchange, AGroupsHubsTakeTurns)
+//! Two hubs of a group that both sentDatagrams each fleet sum caused half of
+//! all bytes.
+Test(exchange, TheHubsOfAGroupTakeTurns)
 {
   for (std::size_t hubs = 1; hubs <= kHubsOfGroup; ++hubs) {
     for (std::uint64_t period = 0; period < 10; ++period) {
-      int told = 0;
+      int sending = 0;
       for (std::size_t rank = 0; rank < hubs; ++rank) {
         ExchangePlan plan;
         plan.groupHubs.resize(hubs);
         plan.hubRank = rank;
-        told += plan.TellsFollowers(period) ? 1 : 0;
+        sending += plan.TellsFollowers(period) ? 1 : 0;
       }
-      cr_assert(told == 1);
+      cr_assert(sending == 1);
     }
   }
 }
 
-//! All routers in one availability zone, and too few for a second group:
-//! there is no other group to tell, but there are followers.
-Test(exchange, OneGroupAloneSeesItsWholeFleet)
+//! All routers are in one availability zone, and too few for a second group: a
+//! hub has no other hubs to send sums to, but it has followers.
+Test(exchange, ASingleGroupSeesTheWholeFleet)
 {
-  Net net(20, 1);
+  SimulatedNetwork net(20, 1);
   net.Steps(60);
   for (const auto& router : net.routers) {
-    cr_assert(net.Seen(*router) == 19, "%u", net.Seen(*router));
+    cr_assert(
+      net.RunningElsewhere(*router) == 19, "%u", net.RunningElsewhere(*router));
   }
 }
 
 Test(exchange, ALostHubIsReplaced)
 {
-  Net net(40, 2);
+  SimulatedNetwork net(40, 2);
   net.Steps(60);
   int killed = 0;
   for (auto& router : net.routers) {
@@ -296,14 +304,16 @@
   net.Steps(60);
   for (const auto& router : net.routers) {
     if (router->alive) {
-      cr_assert(net.Seen(*router) == 36, "%u", net.Seen(*router));
+      cr_assert(net.RunningElsewhere(*router) == 36,
+                "%u",
+                net.RunningElsewhere(*router));
     }
   }
 }
 
-Test(exchange, HearsayKeepsNoLostRouterAlive)
+Test(exchange, MemberListsDoNotKeepALostRouterAlive)
 {
-  Net net(7, 3);
+  SimulatedNetwork net(7, 3);
   net.Steps(30);
   net.routers[3]->alive = false;
   net.Steps(200);
@@ -315,10 +325,10 @@
   }
 }
 
-Test(exchange, AFleetThatStartsAllAtOnceFindsItselfThoughDatagramsGetLost)
+Test(exchange, RoutersThatStartAtOnceFindEachOtherDespiteLostDatagrams)
 {
-  Net net(89, 4);
-  net.loss = 0.1;
+  SimulatedNetwork net(89, 4);
+  net.lossRatio = 0.1;
   net.Steps(40);
   for (const auto& router : net.routers) {
     cr_assert(router->members.Alive(net.now) == 89,
@@ -329,7 +339,7 @@
 
 Test(exchange, AllRoutersAgreeOnTheHubs)
 {
-  Net net(89, 4);
+  SimulatedNetwork net(89, 4);
   net.Steps(60);
   std::map<std::uint64_t, std::set<std::string>> hubs;
   for (const auto& router : net.routers) {
@@ -343,9 +353,9 @@
   }
 }
 
-//! Routers whose rounds fall anywhere in a step take the stages of a period in
-//! their order: what one told waits for no period on its way.
-Test(exchange, StagesFollowEachOtherWhereverRoundsFall)
+//! Wherever in a step a router's rounds fall, it takes the stages of a period
+//! in order, so that no report waits for the next period on its way.
+Test(exchange, StagesAreDueInOrderWhereverRoundsFall)
 {
   for (std::int64_t offset = 0; offset < 20; offset += 7) {
     ExchangeClock clock;
@@ -366,16 +376,16 @@
   }
 }
 
-Test(exchange, AStageThatALateRoundPassedIsCaughtUpWithOnce)
+Test(exchange, AStageThatALateRoundMissedIsDueOnce)
 {
   ExchangeClock clock;
   clock.Due(Duration(1000));
   cr_assert(clock.Due(Duration(1070)).size() == 3);
-  cr_assert(clock.Due(Duration(9000)).size() == 4, "each stage once");
+  cr_assert(clock.Due(Duration(9000)).size() == 4, "each stage is due once");
 }
 
-//! A clock that jumps, either way, stops nothing.
-Test(exchange, AClockThatStepsBackStopsNothing)
+//! A clock that jumps, forward or back, must not stop the exchange.
+Test(exchange, StagesStayDueAfterTheClockStepsBack)
 {
   ExchangeClock clock;
   clock.Due(Duration(100000));
@@ -386,38 +396,39 @@
   cr_assert(stages == 8);
 }
 
-//! The age of loads goes with them on their way through hubs.
-Test(exchange, LoadsThatWereSummedUpKeepTheirAge)
+//! Hubs pass loads on together with their age.
+Test(exchange, SummedLoadsKeepTheirAge)
 {
   PeerView hub;
   hub.SetRole(true, 7);
-  PeerReport told;
-  told.router = "far";
-  told.sequence = 1;
-  told.scope = ReportScope::Zone;
-  told.zone = 3;
-  told.routers = 3;
-  told.loadAge = 80ms;
+  PeerReport report;
+  report.router = "far";
+  report.sequence = 1;
+  report.scope = ReportScope::Zone;
+  report.zone = 3;
+  report.routers = 3;
+  report.loadAge = 80ms;
   const TimePoint now(50000);
-  hub.Take(told, now);
+  hub.Take(report, now);
   hub.Forget(now);
   cr_assert(hub.NewsAge(now + 20ms) == 100ms);
   PeerReport own;
   own.router = "hub";
   own.sentAt = now + 20ms;
   const auto sum = hub.FleetSum(own, now + 20ms);
-  cr_assert(sum.routers == 4 && sum.loadAge == 75ms, "3 of 100 ms, one of 0");
+  cr_assert(sum.routers == 4 && sum.loadAge == 75ms,
+            "mean of three routers at 100 ms and one at 0 ms");
 }
 
-//! The load: a request that comes to any of hundreds of routers. Three see an
-//! upstream crash under it, each another one.
+//! A crashing request comes to any of hundreds of routers. Three routers see an
+//! upstream crash under it, each a different upstream.
 Test(exchange, ACrashingRequestIsKnownToAllRoutersWithinASecond)
 {
   constexpr RequestFingerprint kCrashing{ 0xbad };
   for (const int size : { 6, 60, 320 }) {
-    Net net(size, 4);
+    SimulatedNetwork net(size, 4);
     net.Steps(60);
-    net.loss = 0.1;
+    net.lossRatio = 0.1;
     for (std::uint32_t i = 0; i < quarantine::kCrashesToQuarantine; ++i) {
       auto& witness = *net.routers.at(static_cast<std::size_t>(size) - 1 - i);
       witness.quarantine.Crashed(kCrashing, UpstreamId(100 + i), net.now);
@@ -432,22 +443,24 @@
   }
 }
 
-//! Nothing is told any more as news, and the router knows nothing.
-Test(exchange, ARouterThatStartsHearsWhatIsQuarantined)
+//! The crashes are no longer sentDatagrams as updates when the router starts.
+//! It learns of them from the quarantine lists that reports carry from time to
+//! time.
+Test(exchange, AStartingRouterLearnsWhatIsQuarantined)
 {
   constexpr RequestFingerprint kCrashing{ 0xbad };
   for (const int size : { 6, 60 }) {
-    Net net(size, 4);
-    auto& late = *net.routers.back();
-    late.alive = false;
+    SimulatedNetwork net(size, 4);
+    auto& lateRouter = *net.routers.back();
+    lateRouter.alive = false;
     net.Steps(60);
     for (std::uint32_t i = 0; i < quarantine::kCrashesToQuarantine; ++i) {
       net.routers.front()->quarantine.Crashed(
         kCrashing, UpstreamId(100 + i), net.now);
     }
     net.Steps(100);
-    late.alive = true;
+    lateRouter.alive = true;
     net.Steps(25);
-    cr_assert(late.quarantine.HeldFor(kCrashing, 0, net.now).has_value());
+    cr_assert(lateRouter.quarantine.HeldFor(kCrashing, 0, net.now).has_value());
   }
 }
--- a/src/fleet/tests/fleettests.cpp
+++ b/src/fleet/tests/fleettests.cpp
@@ -50,13 +50,13 @@
   cr_assert(table.Match("a.example", "") == nullptr);
 }
 
-Test(routetable, ARouteOfEverythingMatches)
+Test(routetable, ARouteOfTheRootMatchesEveryPath)
 {
   const RouteTable table(ConfigWith({ RouteOf("a.example", "/") }));
   cr_assert(table.Match("a.example", "/anything/at/all") != nullptr);
 }
 
-Test(routetable, AnyPathIsMatchedAsByLookingAtAllRoutes)
+Test(routetable, AnyPathMatchesAsInALinearSearch)
 {
   const std::vector<std::string> prefixes{
     "/", "/a/", "/a/b/", "/b/a/", "/a/b/c/"
@@ -98,9 +98,9 @@
   cr_assert(ChooseService(Route{}, 1) == nullptr);
 }
 
-// ---- shares
+// ---- fair shares
 
-Test(fairshare, TheLevelIsMaxMin)
+Test(fairshare, TheShareIsMaxMinFair)
 {
   WorkspaceRates rates;
   rates[WorkspaceId(1)].asked = 10;
@@ -113,7 +113,7 @@
   cr_assert_float_eq(MaxMinLevel(rates, 15), 5, 1e-9);
 }
 
-Test(fairshare, NoSplitGivesMoreThanThereIsOrLessThanItCould)
+Test(fairshare, MaxMinSharesUseExactlyTheCapacityOrTheDemand)
 {
   rc::check([] {
     WorkspaceRates rates;
@@ -135,7 +135,7 @@
   });
 }
 
-Test(fairshare, AMeterForgetsWhatIsPast)
+Test(fairshare, DemandDecaysOverTime)
 {
   DemandMeter meter;
   meter.Asked(WorkspaceId(1), 2000, 1000ms);
@@ -146,9 +146,9 @@
   cr_assert(meter.Rates(60000ms).empty());
 }
 
-// ---- freshness and what routers tell
+// ---- freshness and reports of other routers
 
-Test(freshness, WithoutProofKeysStopBeforeTheBound)
+Test(freshness, WithoutProofKeysExpireBeforeTheRevocationBound)
 {
   Freshness freshness;
   freshness.Configure(5000ms);
@@ -156,13 +156,13 @@
   freshness.Proven(1000ms);
   cr_assert(freshness.MayUseKeys(5400ms));
   cr_assert(!freshness.MayUseKeys(5600ms));
-  freshness.Proven(500ms); // an older proof takes nothing away
+  freshness.Proven(500ms); // an older proof changes nothing
   cr_assert(freshness.MayUseKeys(5400ms));
   Freshness unbounded;
   cr_assert(unbounded.MayUseKeys(1000000ms));
 }
 
-Test(peerview, LoadsOfLiveRoutersAddUpAndLapse)
+Test(peerview, LoadsOfLiveRoutersAddUpAndExpire)
 {
   PeerView view;
   PeerReport report;
--- a/src/fleet/tests/loadmodel.h
+++ b/src/fleet/tests/loadmodel.h
@@ -10,41 +10,44 @@
 
 namespace hemlockgauge::fleet {
 
-//! A model engine: reads prompts one after another in the order of arrival,
-//! keeps what it read while there is memory, and generates at a fixed pace.
+//! A model engine. It prefills prompts one after another in order of arrival,
+//! caches prompt parts up to the size of its memory, and generates at a fixed
+//! pace.
 class ModelEngine
 {
 public:
-  ModelEngine(double aTokensPerMs, std::uint32_t aMemory);
+  ModelEngine(double aTokensPerMs, std::uint32_t aCacheTokens);
 
-  //! Returns when the first token of aWork is made, if it is sent at aNow.
-  TimePoint Read(const Work& aWork, TimePoint aNow);
-  double TokensRead() const { return m_read; }
+  //! Starts to prefill aWork at aNow. Returns when its first token is
+  //! generated.
+  TimePoint Prefill(const Work& aWork, TimePoint aNow);
+  double PrefilledTokens() const { return m_prefilledTokens; }
 
 private:
-  std::uint32_t Missing(const Work& aWork);
-  void Keep(const PromptPart& aPart);
+  std::uint32_t MissingTokens(const Work& aWork);
+  void Cache(const PromptPart& aPart);
 
   double m_tokensPerMs;
-  std::uint32_t m_memory;
-  std::uint32_t m_used = 0;
-  double m_read = 0;
-  double m_busyUntil = 0;       //!< ms
-  std::list<PromptPart> m_kept; //!< the least recently used last
+  std::uint32_t m_cacheTokens;
+  std::uint32_t m_cachedTokens = 0;
+  double m_prefilledTokens = 0;
+  double m_busyUntil = 0;         //!< end of the prefill queue, in ms
+  std::list<PromptPart> m_cached; //!< most recently used first
   std::map<std::uint64_t, std::list<PromptPart>::iterator> m_byPart;
 };
 
-//! One kind of request of the load.
-struct ModelKind
+//! A kind of request of the load. Its prompts consist of a head, a part shared
+//! by the requests of one prefix, and a part of their own.
+struct RequestKind
 {
-  std::uint32_t headTokens = 0; //!< shared by many prefixes
-  int heads = 1;
+  std::uint32_t headTokens = 0; //!< part shared by several prefixCount
+  int headCount = 1;
   std::uint32_t sharedTokens = 0;
-  std::uint32_t ownTokens = 0;
+  std::uint32_t uniqueTokens = 0;
   std::uint32_t outputTokens = 0;
-  int prefixes = 1;
+  int prefixCount = 1;
   Duration target{ 500 };
-  double perSecond = 0; //!< of all workspaces
+  double requestsPerSecond = 0; //!< requests per second of all workspaces
 };
 
 struct ModelLoad
@@ -53,42 +56,44 @@
   int engines = 18;
   int workspaces = 16;
   double engineTokensPerMs = 38.7;
+  //! Nominal capacity of all engines.
   double tokensPerSecond = 390000;
   Duration reportDelay{ 5 };
   Duration length{ 12000 };
-  //! What is served before this is not counted: caches fill up.
+  //! Requests before this are not counted, while the caches fill up.
   Duration warmUp{ 4000 };
-  std::vector<ModelKind> kinds;
-  //! How much a workspace asks against a usual one, by time.
-  std::function<double(int, Duration)> factor = [](int, Duration) {
+  std::vector<RequestKind> kinds;
+  //! Demand of a workspace relative to a usual one, by its index and the time
+  //! since the start.
+  std::function<double(int, Duration)> demandFactor = [](int, Duration) {
     return 1.0;
   };
 };
 
-//! What became of a workspace's requests.
+//! Outcome of a workspace's requests. Costs are in tokens.
 struct ModelOutcome
 {
-  double asked = 0;  //!< cost of its requests
-  double begun = 0;  //!< of those that were taken
-  double inTime = 0; //!< of those that had their first token in time
+  double requestedCost = 0; //!< cost of all requests
+  double admittedCost = 0;  //!< cost of the admitted requests
+  double inTimeCost = 0;    //!< cost of those whose first token was in time
   int requests = 0;
-  int taken = 0;
-  int takenOwed = 0;   //!< inside the share
-  int takenBehind = 0; //!< beyond it, far behind others
+  int admitted = 0;
+  int admittedInsideShare = 0; //!< admitted inside the fair share
+  int admittedFarBehind = 0;   //!< admitted beyond it, far behind others
   std::vector<double> firstTokenMs;
 };
 
 struct ModelResult
 {
   std::vector<ModelOutcome> workspaces;
-  double tokensRead = 0; //!< by all engines
+  double tokensRead = 0; //!< prefilled by all engines
 
   ModelOutcome Sum() const;
 };
 
-//! Plays a load against real Fleet objects that know of each other by
-//! delayed reports, in virtual time; a refused request does not come back.
+//! Runs a load against real Fleet objects that know each other through delayed
+//! reports, in virtual time. Refused requests are not retried.
 ModelResult
-Play(const ModelLoad& aLoad, std::uint32_t aSeed);
+SimulateLoad(const ModelLoad& aLoad, std::uint32_t aSeed);
 
 }
--- a/src/fleet/tests/modelfleet.cpp
+++ b/src/fleet/tests/modelfleet.cpp
@@ -12,19 +12,19 @@
 }
 
 void
-ModelFleet::Later(TimePoint aAt, std::function<void()> aWhat)
+ModelFleet::Schedule(TimePoint aAt, std::function<void()> aAction)
 {
-  m_events.push({ aAt, m_order++, std::move(aWhat) });
+  m_events.push({ aAt, m_nextOrder++, std::move(aAction) });
 }
 
 void
 ModelFleet::StartReports(std::size_t aRouter, Duration aOffset)
 {
-  Later(m_now + aOffset, [this, aRouter] { Report(aRouter); });
+  Schedule(m_now + aOffset, [this, aRouter] { Report(aRouter); });
 }
 
 void
-ModelFleet::CutOff(std::size_t aRouter, bool aIsCut)
+ModelFleet::SetCutOff(std::size_t aRouter, bool aIsCut)
 {
   if (aIsCut) {
     m_cutOff.insert(aRouter);
@@ -39,8 +39,8 @@
   m_fleets[aRouter]->Tick(m_now);
   const auto report =
     std::make_shared<PeerReport>(m_fleets[aRouter]->Tell(Duration{}, m_now));
-  report->loadAge = m_newsDelay;
-  Later(m_now + m_newsDelay, [this, aRouter, report] {
+  report->loadAge = m_reportDelay;
+  Schedule(m_now + m_reportDelay, [this, aRouter, report] {
     for (std::size_t i = 0; i < m_fleets.size(); ++i) {
       const bool cut = m_cutOff.contains(i) || m_cutOff.contains(aRouter);
       if (i != aRouter && !cut) {
@@ -48,7 +48,7 @@
       }
     }
   });
-  Later(m_now + kReportPeriod, [this, aRouter] { Report(aRouter); });
+  Schedule(m_now + kReportPeriod, [this, aRouter] { Report(aRouter); });
 }
 
 void
@@ -58,7 +58,7 @@
     auto event = m_events.top();
     m_events.pop();
     m_now = event.at;
-    event.what();
+    event.action();
   }
 }
 
--- a/src/fleet/tests/modelfleet.h
+++ b/src/fleet/tests/modelfleet.h
@@ -11,13 +11,14 @@
 
 namespace hemlockgauge::fleet {
 
-//! Routers that know of each other by delayed reports, in virtual time.
+//! Simulates routers that know each other through delayed reports, in virtual
+//! time.
 class ModelFleet
 {
 public:
-  //! aNewsDelay: of a report on its way to the others.
-  explicit ModelFleet(Duration aNewsDelay)
-    : m_newsDelay(aNewsDelay)
+  //! aReportDelay: how long a report takes to reach the other routers.
+  explicit ModelFleet(Duration aReportDelay)
+    : m_reportDelay(aReportDelay)
   {
   }
 
@@ -27,13 +28,13 @@
 
   TimePoint Now() const { return m_now; }
   Duration SinceStart() const { return m_now - kStart; }
-  void Later(TimePoint aAt, std::function<void()> aWhat);
-  //! A router's reports begin after aOffset; one each kReportPeriod.
+  //! Schedules an action. Actions of the same time run in this order.
+  void Schedule(TimePoint aAt, std::function<void()> aAction);
+  //! Starts a router's reports after aOffset, one each kReportPeriod.
   void StartReports(std::size_t aRouter, Duration aOffset);
-  //! Reports between this router and the others get lost from now on, or no
-  //! longer.
-  void CutOff(std::size_t aRouter, bool aIsCut);
-  //! Plays what is to happen within that time.
+  //! Drops all reports from and to this router from now on, or no longer.
+  void SetCutOff(std::size_t aRouter, bool aIsCut);
+  //! Runs the events that are due within aLength of the start.
   void Run(Duration aLength);
 
 private:
@@ -41,7 +42,7 @@
   {
     TimePoint at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> action;
 
     bool operator<(const Event& aOther) const
     {
@@ -53,9 +54,9 @@
 
   static constexpr TimePoint kStart{ 100000 };
 
-  Duration m_newsDelay;
+  Duration m_reportDelay;
   TimePoint m_now = kStart;
-  std::uint64_t m_order = 0;
+  std::uint64_t m_nextOrder = 0;
   std::priority_queue<Event> m_events;
   std::vector<std::unique_ptr<Fleet>> m_fleets;
   std::set<std::size_t> m_cutOff;
--- a/src/fleet/tests/newstests.cpp
+++ b/src/fleet/tests/newstests.cpp
@@ -22,14 +22,14 @@
 }
 
 NewsAsk
-AskAfter(const News& aNews, std::uint64_t aConfigVersion)
+MakeRequestAfter(const News& aNews, std::uint64_t aConfigVersion)
 {
   return { aNews.life, aNews.sequence, aConfigVersion };
 }
 
 }
 
-Test(newslog, AStrangerGetsAllAndAFollowerWhatChanged)
+Test(storechangelog, ANewFollowerGetsEverythingAndAKnownOneTheChanges)
 {
   NewsLog log(7);
   log.SetConfig(3, "three");
@@ -38,17 +38,17 @@
   cr_assert(first.full && first.upstreams.size() == 2);
   cr_assert(first.config == "three");
   cr_assert(first.proofAge == 40ms);
-  cr_assert(!log.HasNews(AskAfter(first, 3)));
+  cr_assert(!log.HasNews(MakeRequestAfter(first, 3)));
   log.SetUpstreams(Entries({ "b", "c" }));
-  cr_assert(log.HasNews(AskAfter(first, 3)));
-  const auto second = log.Answer(AskAfter(first, 3), 0ms);
+  cr_assert(log.HasNews(MakeRequestAfter(first, 3)));
+  const auto second = log.Answer(MakeRequestAfter(first, 3), 0ms);
   cr_assert(!second.full && second.config.empty());
   cr_assert(second.upstreams.size() == 1 && second.upstreams[0].id == "c");
   cr_assert(second.removed == std::vector<std::string>{ "a" });
 }
 
-//! After a change of its source a router has the list of the one before.
-Test(newslog, WhoHasTheSameListGetsNoneAgain)
+//! A router that has changed its source still has the list of the former one.
+Test(storechangelog, AFollowerWithTheSameListGetsNoUpstreams)
 {
   NewsLog one(7);
   NewsLog other(8);
@@ -60,7 +60,7 @@
   cr_assert(!other.WantsAll(ask));
   const auto news = other.Answer(ask, 0ms);
   cr_assert(!news.full && news.upstreams.empty() && news.removed.empty());
-  const auto next = AskAfter(news, 0);
+  const auto next = MakeRequestAfter(news, 0);
   cr_assert(!other.HasNews(next));
   auto entries = Entries({ "a", "b" });
   entries["a"].draining = true;
@@ -69,7 +69,7 @@
   cr_assert(other.Answer(next, 0ms).upstreams.size() == 1);
 }
 
-Test(newslog, WhoKnowsNothingHasNoDigest)
+Test(storechangelog, ALogWithoutAListHasNoDigest)
 {
   NewsLog empty(7);
   NewsLog listed(8);
@@ -79,21 +79,21 @@
   cr_assert(listed.WantsAll({ 0, 0, 0, empty.Digest() }));
 }
 
-Test(newslog, AChangedEntryIsNews)
+Test(storechangelog, AChangedEntryIsAChange)
 {
   NewsLog log(7);
   auto entries = Entries({ "a" });
   log.SetUpstreams(entries);
   const auto first = log.Answer({}, 0ms);
   log.SetUpstreams(entries);
-  cr_assert(!log.HasNews(AskAfter(first, 0)));
+  cr_assert(!log.HasNews(MakeRequestAfter(first, 0)));
   entries["a"].draining = true;
   log.SetUpstreams(entries);
-  const auto second = log.Answer(AskAfter(first, 0), 0ms);
+  const auto second = log.Answer(MakeRequestAfter(first, 0), 0ms);
   cr_assert(second.upstreams.at(0).draining);
 }
 
-Test(newslog, AnOlderConfigurationIsNotTaken)
+Test(storechangelog, AnOlderConfigurationIsIgnored)
 {
   NewsLog log(7);
   log.SetConfig(3, "three");
@@ -101,13 +101,13 @@
   cr_assert(log.Answer({}, 0ms).config == "three");
 }
 
-//! Whatever happened and whenever it asks, a follower ends with the same
-//! upstreams as the router it follows.
-Test(newslog, AFollowerEndsUpWithTheSameUpstreams)
+//! After any changes and at whatever times it asks, a follower has the same
+//! upstreams as the router that it follows.
+Test(storechangelog, AFollowerGetsTheSameUpstreams)
 {
   rc::check([] {
     NewsLog log(7);
-    std::map<std::string, UpstreamEntry> here;
+    std::map<std::string, UpstreamEntry> followed;
     NewsAsk ask;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
@@ -119,23 +119,24 @@
       }
       const auto news = log.Answer(ask, 0ms);
       if (news.full) {
-        here.clear();
+        followed.clear();
       }
       for (const auto& entry : news.upstreams) {
-        here[entry.id] = entry;
+        followed[entry.id] = entry;
       }
       for (const auto& id : news.removed) {
-        here.erase(id);
+        followed.erase(id);
       }
-      ask = AskAfter(news, 0);
+      ask = MakeRequestAfter(news, 0);
       if (i + 1 == steps) {
-        RC_ASSERT(here == Entries(ids));
+        RC_ASSERT(followed == Entries(ids));
       }
     }
   });
 }
 
-Test(newslog, WhoMissedTooMuchOrFollowedAnEarlierLifeGetsAll)
+Test(storechangelog,
+     AFollowerThatIsTooFarBehindOrOfAnEarlierIncarnationGetsEverything)
 {
   NewsLog log(7);
   log.SetUpstreams(Entries({ "a" }));
@@ -145,5 +146,5 @@
   for (int i = 0; i < 2000; ++i) {
     log.SetUpstreams(Entries({ i % 2 == 0 ? "b" : "c" }));
   }
-  cr_assert(log.Answer(AskAfter(first, 0), 0ms).full);
+  cr_assert(log.Answer(MakeRequestAfter(first, 0), 0ms).full);
 }
--- a/src/fleet/tests/placementtests.cpp
+++ b/src/fleet/tests/placementtests.cpp
@@ -67,7 +67,7 @@
   }
 }
 
-Test(placement, AHotPrefixWidensItsSetAsItsFirstUpstreamFillsUp)
+Test(placement, AHotPrefixUsesMoreUpstreamsAsItsFirstOneFillsUp)
 {
   std::vector<Candidate> all{ Engine(1, 0), Engine(2, 0), Engine(3, 0) };
   std::set<std::size_t> used;
@@ -80,7 +80,7 @@
   cr_assert(used.size() == 3);
 }
 
-Test(placement, ACacheThatHoldsThePrefixIsWorthItsReadingTime)
+Test(placement, ACachedPrefixOutweighsAShorterQueue)
 {
   const std::vector<Candidate> all{ Engine(1, 0, 9000), Engine(2, 2000, 2900) };
   for (std::uint64_t key = 0; key < 20; ++key) {
@@ -88,9 +88,10 @@
   }
 }
 
-//! Reading a prefix again makes all behind it wait: a request stays with the
-//! upstream that holds it although another would answer a little sooner.
-Test(placement, APrefixIsNotReadAgainForALittleTime)
+//! Prefilling a prefix again delays all requests behind it. A request therefore
+//! stays with the upstream that holds the prefix even if another one would
+//! answer a little sooner.
+Test(placement, APrefixIsNotPrefilledAgainToSaveALittleTime)
 {
   const std::vector<Candidate> all{ Engine(1, 3500, 1000), Engine(2, 0, 4000) };
   for (std::uint64_t key = 0; key < 20; ++key) {
@@ -107,7 +108,7 @@
   }
 }
 
-Test(placement, TheNearestAreTheFirstOfTheKeysOrder)
+Test(placement, TheNearestStayTheSameWhenAnUpstreamLeaves)
 {
   const auto prefix = Ids(40);
   auto nearest = prefix;
@@ -117,29 +118,29 @@
   std::erase(without, nearest.front());
   auto next = without;
   KeepNearest(next, 7, 5);
-  int same = 0;
+  int kept = 0;
   for (const auto id : next) {
-    same += std::count(nearest.begin(), nearest.end(), id) > 0 ? 1 : 0;
+    kept += std::count(nearest.begin(), nearest.end(), id) > 0 ? 1 : 0;
   }
-  cr_assert(same == 4, "one that leaves is replaced, the others stay");
+  cr_assert(kept == 4, "one that leaves is replaced, the others stay");
   auto few = Ids(3);
   KeepNearest(few, 7, 5);
   cr_assert(few.size() == 3);
 }
 
-Test(placement, NowhereToGoIsSaid)
+Test(placement, WithoutCandidatesThereIsNoPlacement)
 {
   cr_assert(!Place(PrefixAffinity{}, {}, 1).has_value());
 }
 
-Test(readrate, ASlowUpstreamIsLearned)
+Test(prefillrate, TheRateOfASlowUpstreamIsLearned)
 {
   ReadRate rate;
   for (int i = 0; i < 60; ++i) {
     rate.Learn(2900, 12 + 2900 / 7.0);
   }
   cr_assert_float_eq(rate.TokensPerMs(), 7, 0.2);
-  rate.Learn(10, 500); // too small to say anything
+  rate.Learn(10, 500); // too few tokens to be a sample
   cr_assert_float_eq(rate.TokensPerMs(), 7, 0.2);
 }
 
@@ -155,10 +156,10 @@
   cr_assert(map.Held(work, UpstreamId(8)) == 0);
 }
 
-//! Found on a grown deployment: after ten seconds without the store nothing
-//! had been read, but all prefixes were taken for gone, and what came back
-//! was refused for the time that reading them all again would take.
-Test(prefixmap, PartsGetOldByWhatIsReadNotByTime)
+//! While the store was unavailable for ten seconds, nothing had been prefilled.
+//! All prefixes were assumed to be evicted, and the requests that came then
+//! were refused for the time that prefilling them all again would take.
+Test(prefixmap, PartsAgeByPrefilledTokensNotByTime)
 {
   PrefixMap map;
   Work work;
--- a/src/fleet/tests/plainmodel.cpp
+++ b/src/fleet/tests/plainmodel.cpp
@@ -13,21 +13,22 @@
 
 namespace {
 
-//! Takes calls in the order of arrival, some at once, and refuses when full.
-class ModelService
+//! An upstream that runs calls in order of arrival, a fixed number at once, and
+//! refuses them while its maxQueued is full.
+class ModelUpstream
 {
 public:
-  ModelService(std::uint32_t aSlots, std::size_t aQueue)
+  ModelUpstream(std::uint32_t aSlots, std::size_t aQueue)
     : m_freeAt(aSlots)
-    , m_most(aSlots + aQueue)
+    , m_maxCalls(aSlots + aQueue)
   {
   }
 
-  //! Returns when the call ends; nothing if it is refused.
-  std::optional<TimePoint> Take(Duration aWork, TimePoint aNow)
+  //! Returns when the call ends, or nothing if it is refused.
+  std::optional<TimePoint> Accept(Duration aWork, TimePoint aNow)
   {
     std::erase_if(m_ends, [&](TimePoint aEnd) { return aEnd <= aNow; });
-    if (m_ends.size() >= m_most) {
+    if (m_ends.size() >= m_maxCalls) {
       return std::nullopt;
     }
     auto& slot = *std::min_element(m_freeAt.begin(), m_freeAt.end());
@@ -39,13 +40,13 @@
 private:
   std::vector<TimePoint> m_freeAt;
   std::vector<TimePoint> m_ends;
-  std::size_t m_most;
+  std::size_t m_maxCalls;
 };
 
-class PlainPlayer
+class PlainSimulation
 {
 public:
-  PlainPlayer(const PlainLoad& aLoad, std::uint32_t aSeed);
+  PlainSimulation(const PlainLoad& aLoad, std::uint32_t aSeed);
 
   PlainResult Run();
 
@@ -53,24 +54,27 @@
   void ScheduleCall();
   void Call();
   double Draw() { return m_uniform(m_random); }
-  double DrawPause(double aMeanMs) { return -std::log(1.0 - Draw()) * aMeanMs; }
+  double DrawExponential(double aMeanMs)
+  {
+    return -std::log(1.0 - Draw()) * aMeanMs;
+  }
 
   const PlainLoad& m_load;
   PlainResult m_result;
   std::mt19937 m_random;
   std::uniform_real_distribution<double> m_uniform{ 0.0, 1.0 };
-  std::uint64_t m_calls = 0;
+  std::uint64_t m_callCount = 0;
   double m_nextCallMs = 0; //!< since the start
   Route m_route;
   Work m_noWork;
   ModelFleet m_fleet;
-  std::map<std::string, ModelService> m_services;
+  std::map<std::string, ModelUpstream> m_upstreams;
 };
 
-PlainPlayer::PlainPlayer(const PlainLoad& aLoad, std::uint32_t aSeed)
+PlainSimulation::PlainSimulation(const PlainLoad& aLoad, std::uint32_t aSeed)
   : m_load(aLoad)
   , m_random(aSeed)
-  , m_fleet(aLoad.newsDelay)
+  , m_fleet(aLoad.reportDelay)
 {
   auto config = std::make_shared<FleetConfig>();
   config->version = 1;
@@ -83,7 +87,7 @@
     entry.zone = "zone-a";
     entry.slots = aLoad.slots;
     entries.push_back(entry);
-    m_services.emplace(entry.id, ModelService(aLoad.slots, aLoad.queue));
+    m_upstreams.emplace(entry.id, ModelUpstream(aLoad.slots, aLoad.maxQueued));
   }
   m_route.target = aLoad.target;
   for (int i = 0; i < aLoad.routers; ++i) {
@@ -95,54 +99,56 @@
 }
 
 void
-PlainPlayer::ScheduleCall()
+PlainSimulation::ScheduleCall()
 {
-  m_nextCallMs += DrawPause(1000.0 / m_load.perSecond);
-  const auto pause =
+  m_nextCallMs += DrawExponential(1000.0 / m_load.callsPerSecond);
+  const auto interval =
     Duration(static_cast<std::int64_t>(m_nextCallMs)) - m_fleet.SinceStart();
-  m_fleet.Later(m_fleet.Now() + pause, [this] {
+  m_fleet.Schedule(m_fleet.Now() + interval, [this] {
     ScheduleCall();
     Call();
   });
 }
 
 void
-PlainPlayer::Call()
+PlainSimulation::Call()
 {
   PlaceRequest request;
   request.route = &m_route;
   request.work = &m_noWork;
   request.service = "plain";
-  request.key = base::HashName("call" + std::to_string(++m_calls));
+  request.key = base::HashName("call" + std::to_string(++m_callCount));
   request.timeLeft = 1500ms;
   const auto now = m_fleet.Now();
   auto& fleet = m_fleet.At(
     static_cast<std::size_t>(Draw() * static_cast<double>(m_fleet.Size())));
   fleet.Arrived(request, now);
   const auto place = fleet.Place(request, now);
-  const bool counts = m_fleet.SinceStart() >= m_load.warmUp;
-  const auto count = [counts](int& aWhat) { aWhat += counts ? 1 : 0; };
-  count(m_result.asked);
+  const bool isCounted = m_fleet.SinceStart() >= m_load.warmUp;
+  const auto count = [isCounted](int& aCounter) {
+    aCounter += isCounted ? 1 : 0;
+  };
+  count(m_result.calls);
   if (place.outcome != PlaceOutcome::Placed) {
     count(m_result.refusedByRouter);
     return;
   }
   const auto work =
-    Duration(static_cast<std::int64_t>(DrawPause(m_load.serviceMs)));
-  const auto end = m_services.at(place.upstreamId).Take(work, now);
+    Duration(static_cast<std::int64_t>(DrawExponential(m_load.meanServiceMs)));
+  const auto end = m_upstreams.at(place.upstreamId).Accept(work, now);
   if (!end) {
     count(m_result.refusedByUpstream);
     fleet.Ended(place.attempt, AttemptEnd::Refused, now);
     return;
   }
   count(*end - now <= m_load.target ? m_result.inTime : m_result.late);
-  m_fleet.Later(*end, [this, &fleet, attempt = place.attempt] {
+  m_fleet.Schedule(*end, [this, &fleet, attempt = place.attempt] {
     fleet.Ended(attempt, AttemptEnd::Answered, m_fleet.Now());
   });
 }
 
 PlainResult
-PlainPlayer::Run()
+PlainSimulation::Run()
 {
   for (std::size_t i = 0; i < m_fleet.Size(); ++i) {
     const auto offset = static_cast<std::int64_t>(
@@ -157,9 +163,9 @@
 }
 
 PlainResult
-PlayPlain(const PlainLoad& aLoad, std::uint32_t aSeed)
+SimulatePlainLoad(const PlainLoad& aLoad, std::uint32_t aSeed)
 {
-  return PlainPlayer(aLoad, aSeed).Run();
+  return PlainSimulation(aLoad, aSeed).Run();
 }
 
 }
--- a/src/fleet/tests/plainmodel.h
+++ b/src/fleet/tests/plainmodel.h
@@ -4,38 +4,40 @@
 
 namespace hemlockgauge::fleet {
 
-//! Calls of a plain service by many routers.
+//! Load of a plain service that is called through many routers.
 struct PlainLoad
 {
   int routers = 40;
   int upstreams = 8;
   std::uint32_t slots = 6;
-  std::size_t queue = 24; //!< a call that finds it full is refused
-  double serviceMs = 60;
-  double perSecond = 730; //!< calls of all callers
+  std::size_t maxQueued = 24; //!< calls that wait for a slot; more are refused
+  //! Mean time that an upstream runs a call, in ms.
+  double meanServiceMs = 60;
+  double callsPerSecond = 730; //!< calls of all callers per second
   Duration target{ 300 };
-  Duration newsDelay{ 250 }; //!< of reports, on their way through hubs
+  Duration reportDelay{ 250 }; //!< of reports, on their way through hubs
   Duration length{ 20000 };
-  Duration warmUp{ 4000 }; //!< what is asked before this is not counted
+  Duration warmUp{ 4000 }; //!< calls before this are not counted
 };
 
 struct PlainResult
 {
-  int asked = 0;
+  int calls = 0;
   int refusedByRouter = 0;
   int refusedByUpstream = 0;
   int inTime = 0;
   int late = 0;
 
-  double PartOf(int aCalls) const
+  //! Ratio of a number of calls to all calls.
+  double RatioOf(int aCalls) const
   {
-    return static_cast<double>(aCalls) / asked;
+    return static_cast<double>(aCalls) / calls;
   }
 };
 
-//! Plays the load against real Fleet objects, in virtual time. A refused call
-//! does not come back.
+//! Runs the load against real Fleet objects in virtual time. Refused calls are
+//! not retried.
 PlainResult
-PlayPlain(const PlainLoad& aLoad, std::uint32_t aSeed);
+SimulatePlainLoad(const PlainLoad& aLoad, std::uint32_t aSeed);
 
 }
--- a/src/fleet/tests/prefixcopytests.cpp
+++ b/src/fleet/tests/prefixcopytests.cpp
@@ -6,18 +6,18 @@
 
 #include <set>
 
-//! When an engine copies what another one has read.
+//! When an engine copies KV cache that another engine holds.
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
 namespace {
 
 constexpr double kTokensPerMs = 50;
-//! Holds nothing yet.
+//! An engine that holds nothing of the prompt.
 constexpr PrefixReader kReader{ UpstreamId(99), "z0", 0, kTokensPerMs };
 
 Service
-Linked()
+LinkedService()
 {
   Service service;
   service.name = "engines";
@@ -34,10 +34,10 @@
   return { UpstreamId(aId), aTokens, aZone };
 }
 
-//! A router over linked engines in two zones.
+//! A router with engines in two zones that can copy from each other.
 struct LinkedFleet
 {
-  explicit LinkedFleet(int aEngines, const Service& aService = Linked())
+  explicit LinkedFleet(int aEngines, const Service& aService = LinkedService())
     : fleet({ "r1", "z0", 1 })
   {
     work.outputTokens = 50;
@@ -60,14 +60,14 @@
     fleet.FollowUpstreams(now);
   }
 
-  //! Another router reads aTokens in a second and runs aRunning requests at the
-  //! first engine.
-  void Read(double aTokens, std::uint32_t aRunning)
+  //! Reports that another router has aTokens prefilled in a second and aRunning
+  //! requests running at the first engine.
+  void ReportPrefill(double aTokens, std::uint32_t aRunning)
   {
     PeerReport report;
     report.router = "r2";
     report.life = 1;
-    report.sequence = ++reports;
+    report.sequence = ++lastReport;
     report.reading = aTokens;
     report.loads = { { UpstreamIdOf(entries.front()), 0, aRunning } };
     fleet.Tick(now);
@@ -76,22 +76,25 @@
     fleet.Tick(now);
   }
 
+  //! Places a request whose prompt has a common head, the prefix and a unique
+  //! part.
   PlaceResult Place(std::uint64_t aPrefix, std::vector<UpstreamId> aAvoid = {})
   {
     work.promptTokens = 6000;
-    work.prompt = { { 1, 500 }, { aPrefix, 4500 }, { ++lastOwn, 1000 } };
+    work.prompt = { { 1, 500 }, { aPrefix, 4500 }, { ++lastUniquePart, 1000 } };
     PlaceRequest request;
     request.route = &route;
     request.work = &work;
     request.service = "engines";
     request.workspace = WorkspaceIdOf("w");
-    request.key = lastOwn * 7919;
+    request.key = lastUniquePart * 7919;
     request.timeLeft = 6000ms;
     request.avoid = std::move(aAvoid);
     request.admitted = true;
     return fleet.Place(request, now);
   }
 
+  //! Places such a request and answers it.
   void Serve(std::uint64_t aPrefix)
   {
     fleet.Ended(Place(aPrefix).attempt, AttemptEnd::Answered, now);
@@ -102,15 +105,15 @@
   Work work;
   std::vector<UpstreamEntry> entries;
   TimePoint now{ 100000 };
-  std::uint64_t lastOwn = 1000000;
-  std::uint64_t reports = 0;
+  std::uint64_t lastUniquePart = 1000000;
+  std::uint64_t lastReport = 0;
 };
 
 }
 
-Test(prefixcopy, TheHolderOfMostGivesOneNearbyBeforeOthers)
+Test(prefixcopy, ACopyComesFromTheNearestHolderOfTheLongestPrefix)
 {
-  const auto service = Linked();
+  const auto service = LinkedService();
   const std::vector<PrefixHolder> holders{ Holder(1, 500),
                                            Holder(2, 5000, "z1"),
                                            Holder(3, 5000) };
@@ -121,116 +124,119 @@
   cr_assert(copy->millis < 4500 / kTokensPerMs);
 }
 
-Test(prefixcopy, ManyRequestsDoNotAllTurnToOneHolder)
+Test(prefixcopy, CopiesAreSpreadOverEqualHolders)
 {
   const std::vector<PrefixHolder> holders{ Holder(1, 5000),
                                            Holder(2, 5000),
                                            Holder(3, 5000) };
   std::set<UpstreamId> used;
   for (std::uint64_t key = 1; key < 50; ++key) {
-    used.insert(ChooseCopy(Linked(), holders, kReader, key * 7919)->from);
+    used.insert(
+      ChooseCopy(LinkedService(), holders, kReader, key * 7919)->from);
   }
   cr_assert(used.size() == 3);
 }
 
-Test(prefixcopy, WhatIsReadAboutAsQuicklyIsRead)
+Test(prefixcopy, NothingIsCopiedIfPrefillTakesAboutAsLong)
 {
   const auto little = std::vector{ Holder(1, 100) };
-  cr_assert(!ChooseCopy(Linked(), little, kReader, 9));
-  auto slow = Linked();
+  cr_assert(!ChooseCopy(LinkedService(), little, kReader, 9));
+  auto slow = LinkedService();
   slow.copyMbps = 1000;
   const auto much = std::vector{ Holder(1, 5000) };
   cr_assert(!ChooseCopy(slow, much, kReader, 9));
 }
 
-Test(prefixcopy, EnginesWithoutLinksReadAll)
+Test(prefixcopy, EnginesWithoutLinksCopyNothing)
 {
-  auto unlinked = Linked();
+  auto unlinked = LinkedService();
   unlinked.copyMbps = 0;
   const auto holders = std::vector{ Holder(1, 5000) };
   cr_assert(!ChooseCopy(unlinked, holders, kReader, 9));
 }
 
-Test(prefixcopy, AnotherEngineCopiesWhatOneHasRead)
+Test(prefixcopy, AnEngineCopiesWhatAnotherOneHolds)
 {
-  LinkedFleet bench(6);
-  const auto first = bench.Place(7);
+  LinkedFleet fixture(6);
+  const auto first = fixture.Place(7);
   cr_assert(first.copyFrom.port == 0);
   cr_assert(first.missingTokens == 6000);
-  const auto second = bench.Place(7, { first.upstream });
+  const auto second = fixture.Place(7, { first.upstream });
   cr_assert(second.upstream != first.upstream);
   cr_assert(second.copyFrom == first.address);
   cr_assert(second.copiedTokens == 5000);
   cr_assert(second.missingTokens == 1000);
 }
 
-Test(prefixcopy, WhatLeavesOrIsGoneOrRestartedGivesNothing)
+Test(prefixcopy, DrainingGoneAndRestartedUpstreamsAreNoCopySource)
 {
   for (const char* how : { "draining", "gone", "restarted" }) {
-    LinkedFleet bench(6);
-    const auto first = bench.Place(7);
-    auto entry = bench.fleet.Upstreams().Entries().at(first.upstreamId);
+    LinkedFleet fixture(6);
+    const auto first = fixture.Place(7);
+    auto entry = fixture.fleet.Upstreams().Entries().at(first.upstreamId);
     entry.draining = how == std::string("draining");
     entry.startedAt = 5;
     if (how == std::string("gone")) {
-      bench.fleet.Upstreams().Remove(entry.id, bench.now);
+      fixture.fleet.Upstreams().Remove(entry.id, fixture.now);
     } else {
-      bench.fleet.Upstreams().Put(entry);
+      fixture.fleet.Upstreams().Put(entry);
     }
-    bench.fleet.FollowUpstreams(bench.now);
-    cr_assert(bench.Place(7, { first.upstream }).copyFrom.port == 0, "%s", how);
+    fixture.fleet.FollowUpstreams(fixture.now);
+    cr_assert(
+      fixture.Place(7, { first.upstream }).copyFrom.port == 0, "%s", how);
   }
 }
 
-//! A configuration may drop a service whose routes or upstreams stay.
-Test(prefixcopy, AServiceThatIsNoLongerNamedCopiesNothing)
+//! A configuration may drop a service whose routes or upstreams remain.
+Test(prefixcopy, AServiceDroppedFromTheConfigurationCopiesNothing)
 {
-  LinkedFleet bench(6);
-  const auto first = bench.Place(7);
+  LinkedFleet fixture(6);
+  const auto first = fixture.Place(7);
   auto config = std::make_shared<FleetConfig>();
   config->version = 2;
-  bench.fleet.SetConfig(config);
-  const auto second = bench.Place(7, { first.upstream });
+  fixture.fleet.SetConfig(config);
+  const auto second = fixture.Place(7, { first.upstream });
   cr_assert(second.outcome == PlaceOutcome::Placed);
   cr_assert(second.copyFrom.port == 0);
 }
 
-//! Nothing of one deployment's engines is built in.
-Test(prefixcopy, HowLongAPrefixIsKeptFollowsFromTheMemoryThatIsSaid)
+//! No property of one deployment's engines is built in: the memory size is
+//! configured.
+Test(prefixcopy, TheConfiguredMemoryDecidesHowLongAPrefixIsKept)
 {
   for (const double memory : { 100000.0, 1000000.0 }) {
-    auto service = Linked();
+    auto service = LinkedService();
     service.memoryTokens = memory;
     service.copyMbps = 0;
-    LinkedFleet bench(1, service);
-    bench.Place(7);
-    bench.Read(300000, 0);
-    const bool held = bench.Place(7).missingTokens < 6000;
+    LinkedFleet fixture(1, service);
+    fixture.Place(7);
+    fixture.ReportPrefill(300000, 0);
+    const bool held = fixture.Place(7).missingTokens < 6000;
     cr_assert(held == (memory > 300000));
   }
 }
 
-//! Prefixes were believed to be kept for as long as if an engine's memory held
-//! nothing but what it had read; the request that followed one read it again.
-Test(prefixcopy, WhatIsGeneratedMakesPrefixesOld)
+//! Prefixes were assumed to stay cached as if an engine's memory held only what
+//! it had prefilled. The next request with such a prefix prefilled it again.
+Test(prefixcopy, GeneratedTokensAgePrefixes)
 {
   for (const std::uint32_t output : { 0, 6000 }) {
-    auto service = Linked();
+    auto service = LinkedService();
     service.copyMbps = 0;
-    LinkedFleet bench(1, service);
-    bench.work.outputTokens = output;
+    LinkedFleet fixture(1, service);
+    fixture.work.outputTokens = output;
     for (int i = 0; i < 200; ++i) {
-      bench.Serve(100 + i);
+      fixture.Serve(100 + i);
     }
-    bench.Serve(7);
-    bench.Read(400000, 0);
-    const bool held = bench.Place(7).missingTokens == 1000;
+    fixture.Serve(7);
+    fixture.ReportPrefill(400000, 0);
+    const bool held = fixture.Place(7).missingTokens == 1000;
     cr_assert(held == (output == 0), "%u", output);
   }
 }
 
-//! What was copied to an engine and what it generated fills its memory too.
-Test(memoryuse, CopiedAndGeneratedTokensCountAsFilled)
+//! Copied and generated tokens fill an engine's memory like prefilled ones.
+Test(kvcacheuse, CopiedAndGeneratedTokensCountAsFilled)
 {
   MemoryUse use;
   cr_assert(use.FilledPerRead() == 1.0);
@@ -250,42 +256,44 @@
   cr_assert(use.FilledPerRead() <= 4.0);
 }
 
-//! An engine that had given up a prefix read it again beside others that held
-//! it.
-Test(prefixcopy, AHolderIsToldOfAnotherOne)
+//! An engine that had evicted a prefix prefilled it again although other
+//! engines held it. An assumed holder is therefore given another one to copy
+//! from.
+Test(prefixcopy, AnAssumedHolderIsGivenAnotherHolder)
 {
-  LinkedFleet bench(2);
-  const auto first = bench.Place(7);
-  const auto second = bench.Place(7, { first.upstream });
-  const auto third = bench.Place(7, { first.upstream });
+  LinkedFleet fixture(2);
+  const auto first = fixture.Place(7);
+  const auto second = fixture.Place(7, { first.upstream });
+  const auto third = fixture.Place(7, { first.upstream });
   cr_assert(third.upstream == second.upstream);
   cr_assert(third.missingTokens == 1000 && third.copiedTokens == 0);
   cr_assert(third.copyFrom == first.address);
 }
 
-//! A running request's own tokens are kept until it has ended.
-Test(prefixcopy, WhatRunsLeavesLessMemoryForPrompts)
+//! The tokens of a running request stay in memory until it has ended.
+Test(prefixcopy, RunningRequestsLeaveLessMemoryForPrefixes)
 {
   for (const std::uint32_t running : { 1, 500 }) {
-    LinkedFleet bench(1);
+    LinkedFleet fixture(1);
     for (int i = 0; i < 200; ++i) {
-      bench.Place(100 + i);
+      fixture.Place(100 + i);
     }
-    bench.Place(7);
-    bench.Read(100000, running);
-    const bool held = bench.Place(7).missingTokens == 1000;
+    fixture.Place(7);
+    fixture.ReportPrefill(100000, running);
+    const bool held = fixture.Place(7).missingTokens == 1000;
     cr_assert(held == (running == 1), "%u", running);
   }
 }
 
-//! One caller's number of tokens made a router take all prefixes for gone.
-Test(prefixcopy, ARequestThatNoEngineCanHoldMakesNoPrefixOld)
+//! The huge token count of one caller's request made a router assume that all
+//! prefixes were evicted.
+Test(prefixcopy, ARequestThatNoEngineCanHoldAgesNoPrefix)
 {
-  LinkedFleet bench(1);
-  bench.Serve(7);
-  bench.work.outputTokens = 4000000000;
-  bench.Serve(8);
-  bench.work.outputTokens = 50;
-  bench.Read(100000, 1);
-  cr_assert(bench.Place(7).missingTokens == 1000);
+  LinkedFleet fixture(1);
+  fixture.Serve(7);
+  fixture.work.outputTokens = 4000000000;
+  fixture.Serve(8);
+  fixture.work.outputTokens = 50;
+  fixture.ReportPrefill(100000, 1);
+  cr_assert(fixture.Place(7).missingTokens == 1000);
 }
--- a/src/fleet/tests/readingqueuetests.cpp
+++ b/src/fleet/tests/readingqueuetests.cpp
@@ -6,8 +6,9 @@
 using namespace hemlockgauge::fleet;
 using namespace std::chrono_literals;
 
-//! A long prompt that is half read delays the next one half as long.
-Test(readingqueue, WhatIsReadMeanwhileIsNotCountedAgain)
+//! A prompt whose prefill is half done delays the next one by only the other
+//! half.
+Test(prefillqueue, TokensPrefilledSoFarAreNotCounted)
 {
   ReadingQueue queue;
   queue.Sent(1, 40000, 0, 800, 1000ms);
@@ -17,7 +18,7 @@
   cr_assert(queue.Unread(1400ms) == 0);
 }
 
-Test(readingqueue, OneThatWaitsBehindOthersIsWholeUntilItsTurn)
+Test(prefillqueue, AQueuedPromptCountsInFullUntilItsPrefillStarts)
 {
   ReadingQueue queue;
   queue.Sent(1, 10000, 0, 200, 1000ms);
@@ -28,8 +29,8 @@
   cr_assert(queue.Unread(1300ms) == 5000);
 }
 
-//! An engine that has turned slow must not look empty.
-Test(readingqueue, APromptThatIsOverdueCountsWholeAgain)
+//! An engine that has become slow must not look idle.
+Test(prefillqueue, AnOverduePromptCountsInFullAgain)
 {
   ReadingQueue queue;
   queue.Sent(1, 10000, 0, 200, 1000ms);
@@ -37,7 +38,7 @@
   cr_assert(queue.Unread(1400ms) == 10000);
 }
 
-Test(readingqueue, WhatNeedsNoReadingIsNotQueued)
+Test(prefillqueue, APromptThatNeedsNoPrefillIsNotQueued)
 {
   ReadingQueue queue;
   queue.Sent(1, 0, 50, 0, 1000ms);
--- a/src/fleet/tests/retrytests.cpp
+++ b/src/fleet/tests/retrytests.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 FailedAttempt
-Failed(CallKind aKind, bool aMayRunAgain, std::uint32_t aRun)
+MakeFailedAttempt(CallKind aKind, bool aMayRunAgain, std::uint32_t aRun)
 {
   FailedAttempt failed;
   failed.kind = aKind;
@@ -25,7 +25,7 @@
 
 }
 
-Test(upstreamhealth, FailuresInARowEjectForAWhileAndASuccessForgives)
+Test(upstreamhealth, ConsecutiveFailuresEjectForAWhileAndASuccessResets)
 {
   UpstreamHealth health;
   cr_assert(!health.Failed(0ms, true));
@@ -39,7 +39,7 @@
   cr_assert(!health.Failed(9000ms, true));
 }
 
-Test(upstreamhealth, AFalseAlarmCannotEmptyAService)
+Test(upstreamhealth, FailuresDoNotEjectWhereEjectionIsNotAllowed)
 {
   UpstreamHealth health;
   for (int i = 0; i < 10; ++i) {
@@ -48,10 +48,10 @@
   cr_assert(!health.IsEjected(0ms));
 }
 
-//! The load: upstreams take no connections while all their callers come back
-//! at once. They got a fifth of the others' requests for 15 seconds and more,
-//! for nothing was sent there that could have succeeded.
-Test(upstreamhealth, FailuresFadeWhereNothingIsSent)
+//! Upstreams accept no connections while all their callers reconnect at once.
+//! They then got a fifth of the requests of others for 15 seconds and more,
+//! since no request was sent to them that could have succeeded.
+Test(upstreamhealth, TheFailureRatioDecaysWithoutRequests)
 {
   UpstreamHealth health;
   for (int i = 0; i < 6; ++i) {
@@ -61,42 +61,43 @@
   cr_assert(health.FailurePart(5 * kFailureHalfLife) * kFailureMs < 100);
 }
 
-Test(retrypolicy, WhatWasNeverSentIsTriedElsewhereWithoutBudget)
+Test(retrypolicy, ARequestThatWasNeverSentIsRetriedWithoutBudget)
 {
-  auto failed = Failed(CallKind::AtMostOnce, false, 0);
+  auto failed = MakeFailedAttempt(CallKind::AtMostOnce, false, 0);
   failed.neverSent = true;
   failed.target = 600ms;
   failed.waited = 300ms;
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::Retry);
-  failed.waited = 301ms; // a router that is cut off must not hold its callers
+  failed.waited =
+    301ms; // a router that is cut off must not hold its callers for longer
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
   failed.waited = 0ms;
   failed.attemptsNotRun = kMostNotRunAttempts;
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
 }
 
-Test(retrypolicy, WhatMayHaveRunIsNotRunAgain)
+Test(retrypolicy, ARequestThatMayHaveRunIsNotRetried)
 {
-  auto failed = Failed(CallKind::AtMostOnce, false, 1);
+  auto failed = MakeFailedAttempt(CallKind::AtMostOnce, false, 1);
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AnswerUnknown);
-  failed = Failed(CallKind::Stream, false, 1);
+  failed = MakeFailedAttempt(CallKind::Stream, false, 1);
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AnswerUnknown);
   failed.answerBegun = true;
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Cut);
 }
 
-Test(retrypolicy, WhatNothingRanGoesElsewhereOrIsSaidNotToHaveRun)
+Test(retrypolicy, ARequestThatDidNotRunIsRetriedOrAnsweredAsNotRun)
 {
-  auto failed = Failed(CallKind::AtMostOnce, false, 0);
+  auto failed = MakeFailedAttempt(CallKind::AtMostOnce, false, 0);
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Retry);
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
   failed.attemptsNotRun = kMostNotRunAttempts;
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AnswerNotRun);
 }
 
-Test(retrypolicy, AResumableStreamGoesOnElsewhere)
+Test(retrypolicy, AResumableStreamIsRetriedAfterItsAnswerBegan)
 {
-  auto failed = Failed(CallKind::Stream, true, 1);
+  auto failed = MakeFailedAttempt(CallKind::Stream, true, 1);
   failed.answerBegun = true;
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Retry);
   failed.attemptsRun = 2;
@@ -106,8 +107,9 @@
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Cut);
 }
 
-//! Any routers, any requests: no window holds more than the fleet may.
-Test(retrypolicy, TheFleetStaysWithinItsBudget)
+//! For any number of routers and requests, no time window holds more retries
+//! than the budget of the fleet allows.
+Test(retrypolicy, RetriesStayWithinTheBudgetOfTheFleet)
 {
   rc::check([] {
     const auto routers = *rc::gen::inRange(1, 8);
@@ -117,12 +119,12 @@
       budget.Configure(0.2, slack, 10000ms);
       budget.SetRouters(static_cast<std::size_t>(routers));
     }
-    const auto perStep = *rc::gen::inRange(0, 4);
+    const auto requestsPerStep = *rc::gen::inRange(0, 4);
     std::vector<int> retries(200);
     for (int step = 0; step < 200; ++step) {
       const auto now = TimePoint(step * 100);
       for (auto& budget : budgets) {
-        for (int i = 0; i < perStep; ++i) {
+        for (int i = 0; i < requestsPerStep; ++i) {
           budget.CountRequest("s", now);
         }
         while (budget.Allows("s", now)) {
@@ -131,7 +133,7 @@
         }
       }
     }
-    const double allowed = 0.2 * perStep * routers * 100 + slack;
+    const double allowed = 0.2 * requestsPerStep * routers * 100 + slack;
     for (int from = 0; from + 100 <= 200; ++from) {
       int sum = 0;
       for (int step = from; step < from + 100; ++step) {
--- a/src/fleet/tests/sourcetests.cpp
+++ b/src/fleet/tests/sourcetests.cpp
@@ -20,148 +20,149 @@
 const NewsSource kHubB{ SourceKind::Router, { "10.0.0.2", 1 } };
 
 constexpr base::Duration kStep = 20ms;
-constexpr base::Duration kRevocation = 5000ms;
-constexpr base::Duration kWatch = 1000ms;
-constexpr base::Duration kNews = 300ms;
+constexpr base::Duration kRevocationBound = 5000ms;
+constexpr base::Duration kWatchTime = 1000ms;
+constexpr base::Duration kReportTime = 300ms;
 
-//! A router that knows the fleet, and where it learns of the store.
-struct Learner
+//! A router that knows the fleet, and its source of the store's data.
+struct SimulatedRouter
 {
   FleetMember member;
   ExchangePlan plan;
   SourcePolicy policy;
   TimePoint provenAt{};
   TimePoint nextCallAt{};
-  TimePoint toldAt{};
+  TimePoint lastUpdateAt{};
 };
 
-//! A fleet whose routers know each other, before a store that serves some of
-//! them. Calls to the store are counted.
-class Fleet295
+//! Routers that know each other, with a store that answers some of them. Calls
+//! to the store are counted.
+class SimulatedFleet
 {
 public:
-  explicit Fleet295(int aRouters = 295)
+  explicit SimulatedFleet(int aRouters = 295)
   {
     for (int i = 0; i < aRouters; ++i) {
-      Learner learner;
+      SimulatedRouter router;
       const auto low = std::to_string(1 + i % 200);
-      learner.member.address = { "10." + std::to_string(i / 200) + ".0." + low,
-                                 7400 };
-      learner.member.zone = 1 + static_cast<std::uint32_t>(i % 6);
-      learner.member.hash = base::HashName(learner.member.address.Text());
-      learners.push_back(learner);
+      router.member.address = { "10." + std::to_string(i / 200) + ".0." + low,
+                                7400 };
+      router.member.zone = 1 + static_cast<std::uint32_t>(i % 6);
+      router.member.hash = base::HashName(router.member.address.Text());
+      routers.push_back(router);
     }
-    for (auto& learner : learners) {
+    for (auto& router : routers) {
       std::vector<FleetMember> others;
-      for (const auto& other : learners) {
-        if (!(other.member.address == learner.member.address)) {
+      for (const auto& other : routers) {
+        if (!(other.member.address == router.member.address)) {
           others.push_back(other.member);
         }
       }
-      learner.plan = MakeExchangePlan(learner.member, others);
-      learner.provenAt = now;
-      m_byAddress[learner.member.address.Text()] = &learner;
+      router.plan = MakeExchangePlan(router.member, others);
+      router.provenAt = now;
+      m_byAddress[router.member.address.Text()] = &router;
     }
   }
 
   void Run(base::Duration aFor)
   {
     for (const auto end = now + aFor; now < end; now += kStep) {
-      for (auto& learner : learners) {
-        Step(learner);
+      for (auto& router : routers) {
+        Step(router);
       }
-      TellReaders();
+      ShareFreshestReader();
     }
   }
 
   base::Duration OldestProof() const
   {
     base::Duration oldest{};
-    for (const auto& learner : learners) {
-      oldest = std::max(oldest, now - learner.provenAt);
+    for (const auto& router : routers) {
+      oldest = std::max(oldest, now - router.provenAt);
     }
     return oldest;
   }
 
-  std::vector<Learner> learners;
+  std::vector<SimulatedRouter> routers;
   TimePoint now{ 100000 };
-  std::function<bool(const Learner&)> serves = [](const Learner&) {
-    return true;
-  };
+  std::function<bool(const SimulatedRouter&)> storeAnswers =
+    [](const SimulatedRouter&) { return true; };
   int calls = 0;
   std::set<std::string> callers;
 
 private:
-  //! Reports bring the freshest reader to all within kNews.
-  void TellReaders()
+  //! Reports tell all routers within kReportTime which store reader has the
+  //! newest proof.
+  void ShareFreshestReader()
   {
-    const Learner* best = nullptr;
-    for (const auto& learner : learners) {
-      const bool reads = learner.policy.Current().kind == SourceKind::Store;
-      if (reads && (best == nullptr || learner.provenAt > best->provenAt)) {
-        best = &learner;
+    const SimulatedRouter* freshest = nullptr;
+    for (const auto& router : routers) {
+      const bool reads = router.policy.Current().kind == SourceKind::Store;
+      if (reads &&
+          (freshest == nullptr || router.provenAt > freshest->provenAt)) {
+        freshest = &router;
       }
     }
-    if (best != nullptr && now - best->provenAt >= kNews) {
-      m_told.Learn(best->member.address, best->provenAt);
+    if (freshest != nullptr && now - freshest->provenAt >= kReportTime) {
+      m_freshestReader.Learn(freshest->member.address, freshest->provenAt);
     }
   }
 
-  void Step(Learner& aLearner)
+  void Step(SimulatedRouter& aRouter)
   {
     SourceView view;
-    view.self = aLearner.member.address;
-    view.hash = aLearner.member.hash;
+    view.self = aRouter.member.address;
+    view.hash = aRouter.member.hash;
     view.sinceStart = 60000ms;
-    view.proofAge = now - aLearner.provenAt;
-    view.knownReader = m_told.Better(aLearner.provenAt, now);
-    aLearner.policy.SetOptions(MakeSourceOptions(view, aLearner.plan), now);
-    if (aLearner.policy.Tick(now)) {
-      aLearner.nextCallAt = now;
-      aLearner.toldAt = {};
+    view.proofAge = now - aRouter.provenAt;
+    view.knownReader = m_freshestReader.Better(aRouter.provenAt, now);
+    aRouter.policy.SetOptions(MakeSourceOptions(view, aRouter.plan), now);
+    if (aRouter.policy.Tick(now)) {
+      aRouter.nextCallAt = now;
+      aRouter.lastUpdateAt = {};
     }
-    const auto& source = aLearner.policy.Current();
+    const auto& source = aRouter.policy.Current();
     if (source.kind == SourceKind::Store) {
-      Call(aLearner);
+      CallStore(aRouter);
     } else {
-      Follow(aLearner, *m_byAddress.at(source.address.Text()));
+      FollowRouter(aRouter, *m_byAddress.at(source.address.Text()));
     }
   }
 
-  //! A watch proves what held when it was asked; a failed call is repeated
-  //! after a pause.
-  void Call(Learner& aLearner)
+  //! A watch that is answered proves the store's data as of now; a failed one
+  //! is repeated. Either way the next call follows after kWatchTime.
+  void CallStore(SimulatedRouter& aRouter)
   {
-    if (now < aLearner.nextCallAt) {
+    if (now < aRouter.nextCallAt) {
       return;
     }
     calls++;
-    callers.insert(aLearner.member.address.Text());
-    if (serves(aLearner)) {
-      aLearner.provenAt = now;
-      aLearner.policy.Answered(0ms, now);
+    callers.insert(aRouter.member.address.Text());
+    if (storeAnswers(aRouter)) {
+      aRouter.provenAt = now;
+      aRouter.policy.Answered(0ms, now);
     }
-    aLearner.nextCallAt = now + kWatch;
+    aRouter.nextCallAt = now + kWatchTime;
   }
 
-  void Follow(Learner& aLearner, const Learner& aSource)
+  void FollowRouter(SimulatedRouter& aRouter, const SimulatedRouter& aSource)
   {
-    const bool newer = aSource.provenAt >= aLearner.provenAt + kProofStep;
-    if (!newer && now - aLearner.toldAt < kNewsWait) {
+    const bool newer = aSource.provenAt >= aRouter.provenAt + kProofStep;
+    if (!newer && now - aRouter.lastUpdateAt < kNewsWait) {
       return;
     }
-    aLearner.toldAt = now;
-    aLearner.provenAt = std::max(aLearner.provenAt, aSource.provenAt);
-    aLearner.policy.Answered(now - aSource.provenAt, now);
+    aRouter.lastUpdateAt = now;
+    aRouter.provenAt = std::max(aRouter.provenAt, aSource.provenAt);
+    aRouter.policy.Answered(now - aSource.provenAt, now);
   }
 
-  std::map<std::string, Learner*> m_byAddress;
-  KnownReader m_told;
+  std::map<std::string, SimulatedRouter*> m_byAddress;
+  KnownReader m_freshestReader;
 };
 
 }
 
-Test(sources, ASilentSourceIsPassedOverAndTriedAgainLater)
+Test(sources, ASilentSourceIsSkippedAndRetriedLater)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB, kStore }, false, {}, {} }, 0ms);
@@ -180,12 +181,13 @@
   cr_assert(policy.Current() == kHubA);
 }
 
-Test(sources, ASourceThatIsCutOffItselfIsPassedOver)
+Test(sources, ASourceThatIsItselfCutOffIsSkipped)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
   policy.Answered(kSourceStale + 1ms, 100ms);
-  cr_assert(!policy.Tick(200ms)); // not at once: all would go in circles
+  cr_assert(
+    !policy.Tick(200ms)); // not at once, or all routers would switch in circles
   policy.Answered(kSourceStale + 1ms, kSourceDwell);
   cr_assert(policy.Tick(kSourceDwell + 1ms));
   cr_assert(policy.Current() == kHubB);
@@ -214,7 +216,7 @@
   cr_assert(policy.Current() == kHubB);
 }
 
-Test(sources, WhoHasTakenOverReadsTheStoreForAWhileAndGoesBackToItIfNeeded)
+Test(sources, ATakeoverLastsForAWhileAndIsRepeatedIfNeeded)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA }, false, {}, {} }, 0ms);
@@ -235,7 +237,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, IfAllAreCutOffEachIsKeptLongerThanTheOneBefore)
+Test(sources, IfAllSourcesAreCutOffEachIsKeptLongerThanTheOneBefore)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
@@ -247,7 +249,7 @@
   cr_assert(changes <= 9, "%d", changes);
 }
 
-Test(sources, WhoseSourceIsCutOffGoesToTheKnownReaderAtOnce)
+Test(sources, ARouterWithACutOffSourceFollowsTheFreshestReaderAtOnce)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
@@ -257,9 +259,9 @@
   cr_assert(policy.Current() == kHubB);
 }
 
-//! The load: the store is silent for all routers of a small fleet for two
-//! seconds, and a configuration is written right after. All left it together
-//! and came back to it three seconds later, too late for the configuration.
+//! The store is silent for two seconds for all routers of a small fleet, and a
+//! configuration is written right after. All routers left the store and came
+//! back to it three seconds later, too late for the configuration.
 Test(sources, AStoreThatIsSilentForAllIsKept)
 {
   SourcePolicy policy;
@@ -272,15 +274,16 @@
   cr_assert(policy.Current() == kHubB);
 }
 
-//! Also after a longer silence: it is tried again after each other source.
-Test(sources, WhoReadsTheStoreByRoleReturnsToItFromACutOffSource)
+//! Even after a longer silence the store is tried again after each other
+//! source.
+Test(sources, AStoreReaderReturnsToTheStoreFromACutOffSource)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kStore, kHubA, kHubB }, false, {}, {} }, 0ms);
   auto now = kStoreSilentForAll + 1ms;
   cr_assert(policy.Tick(now));
   cr_assert(policy.Current() == kHubA);
-  for (int i = 0; i < 4; ++i) { // however often that was in vain
+  for (int i = 0; i < 4; ++i) { // however often it failed
     now += kSourceDwell + 1ms;
     policy.Answered(kSourceStale + 1ms, now);
     cr_assert(policy.Tick(now));
@@ -290,7 +293,7 @@
   }
 }
 
-Test(sources, WhoStartsAsksASeedAndTheStoreSoonAfter)
+Test(sources, AStartingRouterAsksASeedAndTheStoreSoonAfter)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -303,8 +306,9 @@
   cr_assert(policy.Current() == kStore);
 }
 
-//! Once it has news and knows of a large fleet, it takes its place there.
-Test(sources, WhoStartedAndKnowsTheFleetFollowsItsHub)
+//! A starting router that has data of the store and knows of a large fleet
+//! follows a hub of its group.
+Test(sources, ARouterThatHasStartedAndKnowsTheFleetFollowsItsHub)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -320,7 +324,7 @@
   cr_assert(MakeSourceOptions(view, plan).order.front() == kHubA);
 }
 
-Test(sources, ASeedThatStartsReadsTheStore)
+Test(sources, AStartingSeedReadsTheStore)
 {
   SourceView view;
   view.seeds = { kHubB.address };
@@ -342,9 +346,9 @@
   cr_assert(options.order.size() == 3 && options.order[0] == kStore);
 }
 
-//! The load: one router of a small fleet has its store back before the others,
-//! which had turned to each other. They stayed there for four seconds.
-Test(sources, InASmallFleetTheKnownReaderIsASourceToo)
+//! One router of a small fleet reaches the store again before the others, which
+//! had switched to each other. They stayed there for four seconds.
+Test(sources, InASmallFleetTheFreshestReaderIsASourceToo)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -357,62 +361,63 @@
   cr_assert(options.known && options.order[*options.known] == kHubB);
 }
 
-//! The load: hundreds of routers on a calm day. With a reader in each group
-//! and all that start reading, 1,851 calls were made in 50 seconds.
+//! Hundreds of routers without any fault. With a store reader in each group,
+//! and all starting routers reading the store, 1,851 calls were made in 50
+//! seconds.
 Test(sources, AFewReadersOfDifferentZonesServeALargeFleet)
 {
-  Fleet295 fleet;
+  SimulatedFleet fleet;
   fleet.Run(20000ms);
   cr_assert(fleet.callers.size() == kStoreReaders, "%zu", fleet.callers.size());
   cr_assert(fleet.calls <= 21 * static_cast<int>(kStoreReaders));
   cr_assert(fleet.OldestProof() < kTakeoverAfter);
   std::set<std::uint32_t> zones;
-  for (const auto& learner : fleet.learners) {
-    if (learner.plan.readRank < kStoreReaders) {
-      zones.insert(learner.member.zone);
+  for (const auto& router : fleet.routers) {
+    if (router.plan.readRank < kStoreReaders) {
+      zones.insert(router.member.zone);
     }
   }
   cr_assert(zones.size() == kStoreReaders);
 }
 
-//! The load: the store turns its readers and half of the others away. None is
-//! without proof for as long as keys may be used unproven.
+//! The store refuses its readers and half of the other routers. No router may
+//! be without proof for as long as keys may be used without one.
 Test(sources, OthersTakeOverFromReadersThatAreCutOff)
 {
-  Fleet295 fleet;
+  SimulatedFleet fleet;
   fleet.Run(5000ms);
-  fleet.serves = [](const Learner& aLearner) {
-    return aLearner.plan.readRank >= kStoreReaders &&
-           aLearner.member.hash % 2 == 0;
+  fleet.storeAnswers = [](const SimulatedRouter& aRouter) {
+    return aRouter.plan.readRank >= kStoreReaders &&
+           aRouter.member.hash % 2 == 0;
   };
   for (int i = 0; i < 150; ++i) {
     fleet.Run(100ms);
-    cr_assert(fleet.OldestProof() < kRevocation - kRevocationMargin,
-              "%lld ms",
+    cr_assert(fleet.OldestProof() < kRevocationBound - kRevocationMargin,
+              "oldest proof is %lld ms old",
               static_cast<long long>(fleet.OldestProof().count()));
   }
 }
 
-//! The load: the store is away for ten seconds. All routers of a large fleet
-//! turning to it made 5,310 calls on such a day.
-Test(sources, AnOutageBringsNotAllRoutersToTheStore)
+//! The store is unavailable for ten seconds. All routers of a large fleet, when
+//! they turned to it, made 5,310 calls.
+Test(sources, AnOutageDoesNotBringAllRoutersToTheStore)
 {
-  Fleet295 fleet;
+  SimulatedFleet fleet;
   fleet.Run(5000ms);
   fleet.calls = 0;
   fleet.callers.clear();
-  fleet.serves = [](const Learner&) { return false; };
+  fleet.storeAnswers = [](const SimulatedRouter&) { return false; };
   fleet.Run(10000ms);
   cr_assert(fleet.callers.size() <= 60, "%zu", fleet.callers.size());
   cr_assert(fleet.calls <= 400, "%d", fleet.calls);
-  fleet.serves = [](const Learner&) { return true; };
+  fleet.storeAnswers = [](const SimulatedRouter&) { return true; };
   fleet.Run(2000ms);
   cr_assert(fleet.OldestProof() < kTakeoverAfter);
 }
 
 //! Three hundred routers that start at once would all list the store, where
-//! each page counts, while their seed is about to know it.
-Test(sources, ASourceWhoseNewsAreOnTheWayIsWaitedFor)
+//! each page is a call, although their seed is about to have the list.
+Test(sources, ASourceWithAPendingAnswerIsWaitedFor)
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
@@ -430,7 +435,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, ASourceThatSaysNothingIsLeftSoonAtTheStart)
+Test(sources, ASilentSourceIsLeftAfterTheSeedWaitAtTheStart)
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
--- a/src/fleet/tests/storeeratests.cpp
+++ b/src/fleet/tests/storeeratests.cpp
@@ -12,7 +12,7 @@
 
 }
 
-Test(storeera, TheEraThatARouterFindsAtItsStartIsSettled)
+Test(storeera, TheFirstEraThatARouterSeesIsSettled)
 {
   StoreEra era;
   cr_assert(era.Seen(7, kNow));
@@ -20,7 +20,7 @@
   cr_assert(!era.Age(kNow));
 }
 
-Test(storeera, ANewEraIsSettledOnceWhatWasLostIsWrittenAgain)
+Test(storeera, ANewEraIsSettledAfterTheRewriteGracePeriod)
 {
   StoreEra era;
   era.Seen(7, kNow);
@@ -31,7 +31,7 @@
   cr_assert(!era.Age(kNow + 11ms + kEraTold));
 }
 
-Test(storeera, AnAnswerOfAnEarlierEraIsNotTaken)
+Test(storeera, AnAnswerOfAnEarlierEraIsRejected)
 {
   StoreEra era;
   era.Seen(8, kNow);
@@ -39,15 +39,16 @@
   cr_assert(era.Era() == 8);
 }
 
-//! A router that never read the store before turns to it after the return.
-Test(storeera, WhatOthersSawBeginIsNotSettledForOneThatReadsLater)
+//! A router learns from another one that a new era began, before it reads the
+//! store for the first time.
+Test(storeera, AnEraReportedByAnotherRouterSettlesFromWhenItBegan)
 {
   StoreEra era;
   era.Told(8, 300ms, kNow);
   cr_assert(era.Seen(8, kNow));
   cr_assert(!era.IsSettled(kNow));
   cr_assert(era.IsSettled(kNow - 300ms + kRewriteGrace));
-  era.Told(8, 800ms, kNow); // someone saw it sooner
+  era.Told(8, 800ms, kNow); // another router saw the era begin earlier
   cr_assert(era.SettledAt() == kNow - 800ms + kRewriteGrace);
   era.Told(7, 100ms, kNow);
   cr_assert(era.Era() == 8);
--- a/src/fleet/tests/suitabilitytests.cpp
+++ b/src/fleet/tests/suitabilitytests.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-//! Regions in which requests of a route or a workspace may run.
+//! Regions that a route or a workspace restricts its requests to.
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
@@ -17,18 +17,18 @@
 const std::set<std::string> kOnlyB{ "of-zone-b" };
 
 FleetSettings
-Settings()
+RegionSettings()
 {
-  auto settings = BenchSettings();
+  auto settings = FixtureSettings();
   settings.regionOfZone = kRegions;
   return settings;
 }
 
-struct RegionBench : Bench
+struct RegionFixture : FleetFixture
 {
-  RegionBench()
+  RegionFixture()
   {
-    fleet.Reconfigure(Settings());
+    fleet.Reconfigure(RegionSettings());
     std::vector<UpstreamEntry> entries;
     for (const std::string zone : { "zone-a", "zone-b", "zone-x" }) {
       UpstreamEntry entry;
@@ -44,13 +44,14 @@
 
   std::uint64_t lastPrefix = 0;
 
-  //! Every upstream that gets one of many requests.
-  std::set<std::string> Used(const std::vector<std::string>* aOfWorkspace)
+  //! Returns the upstreams that get at least one of 60 requests.
+  std::set<std::string> UsedUpstreams(
+    const std::vector<std::string>* aWorkspaceRegions)
   {
     std::set<std::string> used;
     for (std::uint64_t i = 0; i < 60; ++i) {
-      auto request = Ask(++lastPrefix);
-      request.workspaceRegions = aOfWorkspace;
+      auto request = MakeRequest(++lastPrefix);
+      request.workspaceRegions = aWorkspaceRegions;
       request.admitted = true;
       const auto place = Place(request);
       if (place.outcome == PlaceOutcome::Placed) {
@@ -64,44 +65,44 @@
 
 }
 
-Test(regions, ARequestOfNoRegionRunsAnywhere)
+Test(regions, ARequestWithoutRegionsRunsAnywhere)
 {
-  RegionBench bench;
-  cr_assert(bench.Used(nullptr).size() == 3);
+  RegionFixture fixture;
+  cr_assert(fixture.UsedUpstreams(nullptr).size() == 3);
 }
 
 Test(regions, ARouteIsKeptInItsRegions)
 {
-  RegionBench bench;
-  bench.route.allowedRegions = { "south" };
-  cr_assert(bench.Used(nullptr) == kOnlyB);
-  bench.route.allowedRegions = { "south", "north" };
-  cr_assert(bench.Used(nullptr).size() == 2);
+  RegionFixture fixture;
+  fixture.route.allowedRegions = { "south" };
+  cr_assert(fixture.UsedUpstreams(nullptr) == kOnlyB);
+  fixture.route.allowedRegions = { "south", "north" };
+  cr_assert(fixture.UsedUpstreams(nullptr).size() == 2);
 }
 
 Test(regions, AWorkspaceIsKeptInItsRegions)
 {
-  RegionBench bench;
+  RegionFixture fixture;
   const std::vector<std::string> regions{ "north" };
-  cr_assert(bench.Used(&regions) == kOnlyA);
+  cr_assert(fixture.UsedUpstreams(&regions) == kOnlyA);
 }
 
-Test(regions, WhereRouteAndWorkspaceNameRegionsBothBind)
+Test(regions, TheRegionsOfRouteAndWorkspaceBothApply)
 {
-  RegionBench bench;
-  bench.route.allowedRegions = { "north", "south" };
+  RegionFixture fixture;
+  fixture.route.allowedRegions = { "north", "south" };
   const std::vector<std::string> south{ "south", "west" };
-  cr_assert(bench.Used(&south) == kOnlyB);
-  bench.route.allowedRegions = { "north" };
-  cr_assert(bench.Used(&south).empty());
+  cr_assert(fixture.UsedUpstreams(&south) == kOnlyB);
+  fixture.route.allowedRegions = { "north" };
+  cr_assert(fixture.UsedUpstreams(&south).empty());
 }
 
-//! A zone that the settings don't name lies in no region.
-Test(regions, NothingLeftIsRefusedAtOnce)
+//! A zone that the settings give no region is in none.
+Test(regions, ARequestWithoutAnUpstreamInItsRegionsIsRefused)
 {
-  RegionBench bench;
-  bench.route.allowedRegions = { "west" };
-  const auto place = bench.Place(bench.Ask(1));
+  RegionFixture fixture;
+  fixture.route.allowedRegions = { "west" };
+  const auto place = fixture.Place(fixture.MakeRequest(1));
   cr_assert(place.outcome == PlaceOutcome::NoUpstream);
   cr_assert(place.suitability == Suitability::OtherRegion);
 }
--- a/src/fleet/tests/upstreamlisttests.cpp
+++ b/src/fleet/tests/upstreamlisttests.cpp
@@ -39,7 +39,7 @@
 
 }
 
-Test(upstreamlist, WhatGoesWhileTheStoreIsThereIsGoneAtOnce)
+Test(upstreamlist, AnEntryRemovedWhileTheStoreIsReachableIsGoneAtOnce)
 {
   UpstreamList list;
   list.Replace({ Entry("a"), Entry("b") }, 0ms);
@@ -49,7 +49,7 @@
   cr_assert(list.MayGetWork("b"));
 }
 
-Test(upstreamlist, ADrainingOneGetsNoWorkAlsoAfterTheStoreWasAway)
+Test(upstreamlist, ADrainingUpstreamGetsNoWorkEvenAfterAStoreOutage)
 {
   UpstreamList list;
   list.Replace({ Entry("a"), Entry("b") }, 0ms);
@@ -62,7 +62,7 @@
   cr_assert(notices.at(0).change == EntryChange::Gone);
 }
 
-Test(upstreamlist, AnEntryThatLapsedWithTheStoreMayComeBack)
+Test(upstreamlist, AnEntryThatExpiredInAStoreOutageMayComeBack)
 {
   UpstreamList list;
   list.Replace({ Entry("a"), Entry("b"), Entry("c") }, 0ms);
@@ -78,9 +78,9 @@
   cr_assert(!list.MayGetWork("b"));
 }
 
-//! Found on a standard day: a worker that left 0.8 s after the store's
-//! return was kept as if it had lapsed, and got a request 2.2 s later.
-Test(upstreamlist, WhatLeavesAfterTheStoreIsBackIsGoneAtOnce)
+//! An upstream that left 0.8 s after the store's return was kept as if its
+//! entry had expired in the outage, and got a request 2.2 s later.
+Test(upstreamlist, AnEntryRemovedAfterAStoreOutageIsGoneAtOnce)
 {
   UpstreamList list;
   list.Replace({ Entry("a") }, 0ms);
@@ -92,18 +92,18 @@
   cr_assert(!list.MayGetWork("a"));
 }
 
-Test(upstreamlist, WhatWasProvenBeforeTheLossIsNoReturn)
+Test(upstreamlist, ProofFromBeforeAStoreOutageDoesNotEndIt)
 {
   UpstreamList list;
   list.Replace({ Entry("a") }, 0ms);
   list.StoreLost(1000ms);
-  list.StoreReached(900ms); // another router's proof, still from before
+  list.StoreReached(900ms); // another router's proof, from before the outage
   list.StoreReached(6000ms);
   list.Replace({}, 6001ms);
   cr_assert(list.MayGetWork("a"));
 }
 
-Test(upstreamlist, AShortAbsenceOfTheStoreLetsNothingLapse)
+Test(upstreamlist, NoEntryExpiresInAShortStoreOutage)
 {
   UpstreamList list;
   list.Configure(2400ms);
@@ -114,9 +114,9 @@
   cr_assert(!list.MayGetWork("a"));
 }
 
-// ---- entries of other writers, and restarts
+// ---- unusable entries and restarts
 
-Test(upstreamlist, AnEntryThatCannotBeReadNamesNoUpstreamAlsoAfterAGoodOne)
+Test(upstreamlist, AnUnusableEntryReplacesAUsableOne)
 {
   UpstreamList list;
   list.Replace({ Entry("a"), Entry("b") }, 0ms);
@@ -128,7 +128,7 @@
   cr_assert(list.MayGetWork("a"));
 }
 
-Test(upstreamlist, AnUnusableEntryIsNotKeptAsLapsed)
+Test(upstreamlist, AnUnusableEntryIsNotKeptAsExpired)
 {
   UpstreamList list;
   list.Replace({ Entry("a") }, 0ms);
@@ -139,7 +139,7 @@
   cr_assert(notices.at(0).change == EntryChange::Gone);
 }
 
-Test(upstreamlist, ALaterStartIsARestartAndAnEarlierOneChangesNothing)
+Test(upstreamlist, ALaterStartTimeIsARestartAndAnEarlierOneIsIgnored)
 {
   UpstreamList list;
   list.Replace({ StartedAt("a", 1000) }, 0ms);
@@ -153,7 +153,7 @@
   cr_assert(list.Entries().at("a").startedAt == 2000);
 }
 
-Test(upstreamlist, WhoOnceToldItsStartAlwaysDoes)
+Test(upstreamlist, AnEntryMustKeepItsStartTime)
 {
   UpstreamList list;
   list.Replace({ StartedAt("a", 1000), Entry("b") }, 0ms);
@@ -165,7 +165,7 @@
   cr_assert(list.MayGetWork("a"));
 }
 
-Test(upstreamlist, ARestartWhileItsEntryWasMissingIsNoLapse)
+Test(upstreamlist, ARestartWhileTheEntryWasMissingIsNoExpiry)
 {
   UpstreamList list;
   list.Replace({ StartedAt("a", 1000) }, 0ms);
--- a/src/fleet/tests/warmuptests.cpp
+++ b/src/fleet/tests/warmuptests.cpp
@@ -3,7 +3,7 @@
 
 #include <criterion/criterion.h>
 
-//! Cold upstreams: what all routers together send them.
+//! Cold upstreams: the rate of requests that all routers together send them.
 using namespace hemlockgauge;
 using namespace hemlockgauge::fleet;
 
@@ -11,8 +11,7 @@
 
 constexpr double kColdPerSecond = 9.8;
 constexpr ColdLimit kLimit{ 1.5, 5 };
-constexpr double kMostInASecond =
-  kColdPerSecond * kLimit.overrun + kLimit.slack;
+constexpr double kMaxInASecond = kColdPerSecond * kLimit.overrun + kLimit.slack;
 constexpr UpstreamId kUpstream{ 77 };
 
 std::vector<std::uint32_t>
@@ -25,9 +24,8 @@
   return hashes;
 }
 
-//! Routers over one cold upstream, each with its own view, and the largest
-//! number of requests in any second of some.
-struct Routers
+//! WarmUpFleet with one cold upstream, each with its own view of the fleet.
+struct WarmUpFleet
 {
   void Add(const RouterSet& aView)
   {
@@ -36,10 +34,11 @@
     routers.back().SetRouters(aView);
   }
 
-  std::size_t MostInASecond()
+  //! Returns the max requests that all routers send in any one second of five.
+  std::size_t MaxInASecond()
   {
     std::vector<TimePoint> sent;
-    std::size_t most = 0;
+    std::size_t max = 0;
     for (auto now = 0ms; now < 5000ms; now += 5ms) {
       for (auto& router : routers) {
         if (router.MaySend(kUpstream, kColdPerSecond, now)) {
@@ -48,17 +47,22 @@
         }
       }
       std::erase_if(sent, [&](TimePoint aAt) { return now - aAt >= 1000ms; });
-      most = std::max(most, sent.size());
+      max = std::max(max, sent.size());
     }
-    return most;
+    return max;
   }
 
   std::vector<WarmUp> routers;
 };
 
-//! A router's members with some of them heard lately.
+//! Returns the routers that aSelf knows at aNow, if it received a report of
+//! each of aAll routers at 0 ms, and another one of the first aHeard of them at
+//! aNow.
 RouterSet
-ViewOf(std::size_t aSelf, std::size_t aAll, std::size_t aHeard, TimePoint aNow)
+RoutersKnownTo(std::size_t aSelf,
+               std::size_t aAll,
+               std::size_t aHeard,
+               TimePoint aNow)
 {
   const auto address = [](std::size_t aRouter) {
     return base::Address{ "10.0.0." + std::to_string(aRouter), 80 };
@@ -90,12 +94,12 @@
   return entry;
 }
 
-//! A router that owns no cold upstream unless it is told so.
-struct ColdBench : Bench
+//! A router that owns no cold upstream until OwnAll is called.
+struct ColdFixture : FleetFixture
 {
-  ColdBench()
+  ColdFixture()
   {
-    auto config = std::make_shared<FleetConfig>(*Config(2));
+    auto config = std::make_shared<FleetConfig>(*MakeConfig(2));
     config->services["engines"].coldPerSecond = kColdPerSecond;
     fleet.SetConfig(config);
   }
@@ -116,66 +120,67 @@
 
 }
 
-Test(warmup, OneRouterOfManySends)
+Test(warmup, OnlyOneRouterSendsToAColdUpstream)
 {
   const auto hashes = Hashes(67);
-  Routers fleet;
+  WarmUpFleet fleet;
   for (const auto self : hashes) {
     fleet.Add({ self, hashes, true });
   }
-  const auto most = fleet.MostInASecond();
-  cr_assert(most > 5, "%zu", most);
-  cr_assert(most <= kColdPerSecond + 1, "%zu", most);
+  const auto max = fleet.MaxInASecond();
+  cr_assert(max > 5, "%zu", max);
+  cr_assert(max <= kColdPerSecond + 1, "%zu", max);
 }
 
-//! Half of the routers know a router that the others don't.
+//! Half of the routers know routers that the others don't.
 Test(warmup, TwoOwnersByDifferentViewsKeepTheLimit)
 {
   const auto some = Hashes(40);
   const auto all = Hashes(67);
-  Routers fleet;
+  WarmUpFleet fleet;
   for (std::size_t i = 0; i < all.size(); ++i) {
     fleet.Add({ all[i], i % 2 == 0 ? all : some, true });
   }
-  cr_assert(static_cast<double>(fleet.MostInASecond()) <= kMostInASecond);
+  cr_assert(static_cast<double>(fleet.MaxInASecond()) <= kMaxInASecond);
 }
 
-//! Each knows itself alone then.
-Test(warmup, RoutersThatAllJustStartedSendNothing)
+//! WarmUpFleet that have just started may know only themselves.
+Test(warmup, RoutersThatJustStartedSendNothing)
 {
-  Routers fleet;
+  WarmUpFleet fleet;
   for (std::size_t i = 0; i < 67; ++i) {
-    fleet.Add(ViewOf(i, 67, 67, kRoutersSettle / 2));
+    fleet.Add(RoutersKnownTo(i, 67, 67, kRoutersSettle / 2));
   }
-  cr_assert(fleet.MostInASecond() == 0);
+  cr_assert(fleet.MaxInASecond() == 0);
 }
 
-Test(warmup, RoutersThatKnowEachOtherShareOut)
+Test(warmup, RoutersThatKnowEachOtherSendWithinTheLimit)
 {
-  Routers fleet;
+  WarmUpFleet fleet;
   for (std::size_t i = 0; i < 67; ++i) {
-    fleet.Add(ViewOf(i, 67, 67, kRoutersSettle));
+    fleet.Add(RoutersKnownTo(i, 67, 67, kRoutersSettle));
   }
-  const auto most = fleet.MostInASecond();
-  cr_assert(most > 0 && static_cast<double>(most) <= kMostInASecond);
+  const auto max = fleet.MaxInASecond();
+  cr_assert(max > 0 && static_cast<double>(max) <= kMaxInASecond);
 }
 
-//! Eleven of them, cut off from the rest and from each other, and the rest.
+//! Eleven of the routers are cut off from the rest and from each other.
 Test(warmup, RoutersThatAreCutOffKeepTheLimit)
 {
   for (const auto after : { 3500ms, 9000ms, 12000ms }) {
-    Routers fleet;
+    WarmUpFleet fleet;
     for (std::size_t i = 0; i < 67; ++i) {
-      fleet.Add(i >= 56 ? ViewOf(i, 67, 0, after) : ViewOf(i, 67, 56, after));
+      fleet.Add(i >= 56 ? RoutersKnownTo(i, 67, 0, after)
+                        : RoutersKnownTo(i, 67, 56, after));
     }
-    cr_assert(static_cast<double>(fleet.MostInASecond()) <= kMostInASecond);
+    cr_assert(static_cast<double>(fleet.MaxInASecond()) <= kMaxInASecond);
   }
 }
 
-//! Each half may have an owner.
+//! Each half may have an owner of its own.
 Test(warmup, AFleetSplitInTwoKeepsTheLimit)
 {
-  Routers fleet;
+  WarmUpFleet fleet;
   for (std::size_t i = 0; i < 40; ++i) {
     RouterSet view{ Hashes(40)[i], {}, true };
     for (std::size_t j = i % 2; j < 40; j += 2) {
@@ -183,109 +188,113 @@
     }
     fleet.Add(view);
   }
-  cr_assert(static_cast<double>(fleet.MostInASecond()) <= kMostInASecond);
+  cr_assert(static_cast<double>(fleet.MaxInASecond()) <= kMaxInASecond);
 }
 
-Test(core, AColdUpstreamIsPassedOverUntilItIsWarm)
+Test(core, AColdUpstreamIsSkippedUntilItIsWarm)
 {
-  ColdBench bench;
-  bench.List(1);
-  bench.Put(ColdEntry("cold", 3000ms));
+  ColdFixture fixture;
+  fixture.ListUpstreams(1);
+  fixture.Put(ColdEntry("cold", 3000ms));
   for (std::uint64_t i = 0; i < 30; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u0");
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
-  bench.now += 3000ms;
+  fixture.now += 3000ms;
   bool used = false;
   for (std::uint64_t i = 100; i < 130; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     used = used || place.upstreamId == "cold";
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
   cr_assert(used);
 }
 
-//! It turned cold while it served.
-Test(core, AnUpstreamThatBecomesColdAgainIsPassedOver)
+//! An upstream may become cold while it serves requests.
+Test(core, AnUpstreamThatBecomesColdAgainIsSkipped)
 {
-  ColdBench bench;
-  bench.Put(ColdEntry("a", 0ms));
-  bench.Put(ColdEntry("b", 0ms));
-  bench.now += 5000ms;
-  bench.Put(ColdEntry("a", 2500ms));
+  ColdFixture fixture;
+  fixture.Put(ColdEntry("a", 0ms));
+  fixture.Put(ColdEntry("b", 0ms));
+  fixture.now += 5000ms;
+  fixture.Put(ColdEntry("a", 2500ms));
   for (std::uint64_t i = 0; i < 30; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "b");
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
 }
 
-//! A heartbeat that says the same as before makes nothing cold for longer.
-Test(core, AnEntryThatIsListedAgainDoesNotProlongItsCold)
+//! A heartbeat that repeats the same cold time must not extend it.
+Test(core, ARepeatedEntryDoesNotExtendItsColdTime)
 {
-  ColdBench bench;
-  bench.Put(ColdEntry("a", 2000ms));
-  bench.now += 1900ms;
-  bench.Put(ColdEntry("a", 2000ms));
-  cr_assert(bench.Place(bench.Ask(1)).outcome == PlaceOutcome::NoUpstream);
-  bench.now += 100ms;
-  cr_assert(bench.Place(bench.Ask(1)).outcome == PlaceOutcome::Placed);
+  ColdFixture fixture;
+  fixture.Put(ColdEntry("a", 2000ms));
+  fixture.now += 1900ms;
+  fixture.Put(ColdEntry("a", 2000ms));
+  cr_assert(fixture.Place(fixture.MakeRequest(1)).outcome ==
+            PlaceOutcome::NoUpstream);
+  fixture.now += 100ms;
+  cr_assert(fixture.Place(fixture.MakeRequest(1)).outcome ==
+            PlaceOutcome::Placed);
 }
 
-//! It is cold at the end of the evacuation, which its entry says a heartbeat
-//! later; idle, it would draw requests from all routers at once.
-Test(core, AnUpstreamOfARestoredZoneIsTakenForColdAtFirst)
+//! An upstream is cold at the end of an evacuation, but its entry says so only
+//! a heartbeat later. Until then it would attract requests from all routers at
+//! once, since it is idle.
+Test(core, AnUpstreamOfARestoredZoneIsTreatedAsColdAtFirst)
 {
-  ColdBench bench;
-  bench.List(1);
+  ColdFixture fixture;
+  fixture.ListUpstreams(1);
   auto entry = ColdEntry("restored", 0ms);
   entry.zone = "zone-b";
-  bench.Put(entry);
-  bench.fleet.Evacuated().Put({ "zone-b", 3 }, bench.now);
-  bench.fleet.FollowUpstreams(bench.now);
-  bench.now += 5000ms;
-  bench.fleet.Evacuated().Remove("zone-b");
-  bench.fleet.Evacuated().Proven(bench.now);
-  bench.fleet.FollowUpstreams(bench.now);
+  fixture.Put(entry);
+  fixture.fleet.Evacuated().Put({ "zone-b", 3 }, fixture.now);
+  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.now += 5000ms;
+  fixture.fleet.Evacuated().Remove("zone-b");
+  fixture.fleet.Evacuated().Proven(fixture.now);
+  fixture.fleet.FollowUpstreams(fixture.now);
   for (std::uint64_t i = 0; i < 30; ++i) {
-    const auto place = bench.Place(bench.Ask(i));
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u0");
-    bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
   }
-  const auto cold = bench.fleet.Status(bench.now).at(0).coldFor +
-                    bench.fleet.Status(bench.now).at(1).coldFor;
+  const auto cold = fixture.fleet.Status(fixture.now).at(0).coldFor +
+                    fixture.fleet.Status(fixture.now).at(1).coldFor;
   cr_assert(cold == 2400ms);
 }
 
-//! All of a service's upstreams are cold: the owner sends what they bear, the
-//! rest comes back.
-Test(core, WhereAllAreColdTheOwnerSendsWhatTheyBear)
+//! All upstreams of a service are cold. Their owner sends as much as they can
+//! take, and all other requests are refused with a Retry-After.
+Test(core, WhereAllAreColdTheirOwnerSendsWhatTheyCanTake)
 {
-  ColdBench bench;
-  bench.Put(ColdEntry("a", 20000ms));
-  const auto refused = bench.Place(bench.Ask(1));
+  ColdFixture fixture;
+  fixture.Put(ColdEntry("a", 20000ms));
+  const auto refused = fixture.Place(fixture.MakeRequest(1));
   cr_assert(refused.outcome == PlaceOutcome::NoUpstream);
   cr_assert(refused.suitability == Suitability::Cold);
   cr_assert(refused.retryAfter == kNoUpstreamWaitMost);
-  bench.OwnAll();
+  fixture.OwnAll();
   int placed = 0;
-  for (int i = 0; i < 400; ++i, bench.now += 5ms) {
-    const auto place = bench.Place(bench.Ask(i));
+  for (int i = 0; i < 400; ++i, fixture.now += 5ms) {
+    const auto place = fixture.Place(fixture.MakeRequest(i));
     if (place.outcome == PlaceOutcome::Placed) {
       placed++;
-      bench.fleet.FirstToken(place.attempt, bench.now);
-      bench.fleet.Ended(place.attempt, AttemptEnd::Answered, bench.now);
+      fixture.fleet.FirstToken(place.attempt, fixture.now);
+      fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
     }
   }
   cr_assert(placed >= 4 && placed <= 2 * kColdPerSecond + 1, "%d", placed);
 }
 
-//! Only a service whose upstreams say what they bear has such a limit.
+//! Cold upstreams are limited only where their service states a rate for them.
 Test(core, AColdUpstreamOfAServiceWithoutALimitIsUsed)
 {
-  Bench bench;
-  bench.fleet.Upstreams().Put(ColdEntry("a", 3000ms));
-  bench.fleet.FollowUpstreams(bench.now);
-  cr_assert(bench.Place(bench.Ask(1)).outcome == PlaceOutcome::Placed);
+  FleetFixture fixture;
+  fixture.fleet.Upstreams().Put(ColdEntry("a", 3000ms));
+  fixture.fleet.FollowUpstreams(fixture.now);
+  cr_assert(fixture.Place(fixture.MakeRequest(1)).outcome ==
+            PlaceOutcome::Placed);
 }
