--- a/src/fleet/tests/admissiontests.cpp
+++ b/src/fleet/tests/admissiontests.cpp
@@ -52,8 +52,7 @@
   input.timeLeft = 5000ms;
   input.insideShare = false;
   input.insidePromise = true;
-  input.passesLevel =
-    false; // the throttle applies only beyond the nominal share
+  input.passesLevel = false; // throttles only beyond the nominal share
   input.foreseenMs = kInsidePromiseLimit * 1000 - 1;
   cr_assert(Admit(input).taken);
   input.foreseenMs = kInsidePromiseLimit * 1000 + 1;
@@ -63,7 +62,7 @@
 }
 
 //! Engines are busy with other workspaces' prompts. A workspace that got a
-//! quarter of what it asked was refused because of its predicted wait.
+//! quarter of its demand was refused because of its predicted wait.
 Test(admission, AStarvedWorkspaceIsServedLateRatherThanRefused)
 {
   AdmissionInput input;
--- a/src/fleet/tests/busyroutermodel.cpp
+++ b/src/fleet/tests/busyroutermodel.cpp
@@ -27,8 +27,8 @@
 
 }
 
-BusyRouterModel::BusyRouterModel(const FloodLoad& aRouter, std::uint32_t aSeed)
-  : m_router(aRouter)
+BusyRouterModel::BusyRouterModel(const FloodLoad& aLoad, std::uint32_t aSeed)
+  : m_load(aLoad)
 {
   ScheduleArrivals(aSeed);
 }
@@ -38,17 +38,17 @@
 {
   std::mt19937 random(aSeed);
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
-  const auto floodStart = m_router.floodStartsAt.count() * kMicrosPerMilli;
-  const auto end = m_router.length.count() * kMicrosPerMilli;
+  const auto floodStart = m_load.floodStartsAt.count() * kMicrosPerMilli;
+  const auto end = m_load.length.count() * kMicrosPerMilli;
   Micros at = 0;
   while (at < end) {
     const double rate =
-      m_router.requestsPerSecond * (at < floodStart ? 0.1 : 1.0);
+      m_load.requestsPerSecond * (at < floodStart ? 0.1 : 1.0);
     const double interval = -std::log(1.0 - uniform(random)) / rate;
     at += static_cast<Micros>(interval * kMicrosPerSecond) + 1;
     Caller caller;
     caller.firstSentAt = at;
-    caller.isInsideShare = uniform(random) < m_router.insideShareRatio;
+    caller.isInsideShare = uniform(random) < m_load.insideShareRatio;
     m_arrivals.emplace(at, caller);
     m_outcome.requests++;
   }
@@ -68,7 +68,7 @@
 void
 BusyRouterModel::Connect(Caller aCaller)
 {
-  if (m_acceptQueue.size() < QueueLimit(m_router.processorShare)) {
+  if (m_acceptQueue.size() < QueueLimit(m_load.processorShare)) {
     m_acceptQueue.push_back(aCaller);
     return;
   }
@@ -92,8 +92,8 @@
 void
 BusyRouterModel::Spend(Micros aCoreTime)
 {
-  m_now += static_cast<Micros>(static_cast<double>(aCoreTime) /
-                               m_router.processorShare);
+  m_now +=
+    static_cast<Micros>(static_cast<double>(aCoreTime) / m_load.processorShare);
 }
 
 Duration
--- a/src/fleet/tests/busyroutermodel.h
+++ b/src/fleet/tests/busyroutermodel.h
@@ -27,7 +27,7 @@
   int requests = 0;
   int served = 0;
   int servedInTime = 0; //!< within 500 ms of the first attempt
-  int refused = 0;      //!< after the last attempt, with a Retry-After
+  int refused = 0;      //!< refused again on the retry after Retry-After
   int failed = 0;       //!< given up unread
 };
 
@@ -37,7 +37,7 @@
 class BusyRouterModel
 {
 public:
-  BusyRouterModel(const FloodLoad& aRouter, std::uint32_t aSeed);
+  BusyRouterModel(const FloodLoad& aLoad, std::uint32_t aSeed);
 
   FloodOutcome Run();
 
@@ -64,7 +64,7 @@
   Duration BusyFor() const;
   bool PollWork();
 
-  FloodLoad m_router;
+  FloodLoad m_load;
   Micros m_now = 0;
   Micros m_idleAt = 0;
   std::multimap<Micros, Caller> m_arrivals;
--- a/src/fleet/tests/corefixture.h
+++ b/src/fleet/tests/corefixture.h
@@ -9,7 +9,7 @@
 
 namespace hemlockgauge::fleet {
 
-//! Size of a request's prompt if a test gives none.
+//! Prompt size of a request unless a test gives another.
 inline constexpr std::uint32_t kPromptTokens = 3000;
 
 //! Makes a configuration with a service of engines and a plain one.
@@ -126,30 +126,32 @@
   {
   }
 
+  //! Starts the prefill of a placed request.
   void Begin(const PlaceResult& aPlace, TimePoint aNow)
   {
     if (aPlace.outcome != PlaceOutcome::Placed) {
       return;
     }
     const auto wait = Duration(static_cast<std::int64_t>(aPlace.foreseenMs));
-    m_reading.emplace_back(aNow + wait + m_delay, aPlace.attempt);
+    m_prefills.emplace_back(aNow + wait + m_delay, aPlace.attempt);
   }
 
+  //! Reports the first tokens that are due and ends their requests.
   void Finish(FleetFixture& aFixture)
   {
-    std::erase_if(m_reading, [&](const auto& aReading) {
-      if (aReading.first > aFixture.now) {
+    std::erase_if(m_prefills, [&](const auto& aPrefill) {
+      if (aPrefill.first > aFixture.now) {
         return false;
       }
-      aFixture.fleet.FirstToken(aReading.second, aFixture.now);
-      aFixture.fleet.Ended(aReading.second, AttemptEnd::Answered, aFixture.now);
+      aFixture.fleet.FirstToken(aPrefill.second, aFixture.now);
+      aFixture.fleet.Ended(aPrefill.second, AttemptEnd::Answered, aFixture.now);
       return true;
     });
   }
 
 private:
   Duration m_delay;
-  std::vector<std::pair<TimePoint, AttemptId>> m_reading;
+  std::vector<std::pair<TimePoint, AttemptId>> m_prefills;
 };
 
 }
--- a/src/fleet/tests/coretests.cpp
+++ b/src/fleet/tests/coretests.cpp
@@ -83,11 +83,11 @@
     refused += place.outcome == PlaceOutcome::Refused ? 1 : 0;
     used[place.upstreamId]++;
   }
-  cr_assert(refused == 0, "%d", refused);
+  cr_assert(refused == 0, "%d of 90 requests refused", refused);
   cr_assert(used.size() == 8);
 }
 
-//! More prompts arrive at once than can be read within their target.
+//! More prompts arrive at once than can be prefilled within their target.
 Test(core, ABurstIsRefusedOnceItCannotMeetItsTarget)
 {
   FleetFixture fixture;
@@ -100,7 +100,7 @@
   }
   // Two engines that prefill for 0.9 of the 800 ms target, at the initial
   // estimate of 28 tokens per ms.
-  cr_assert(placed >= 10 && placed <= 16, "%d", placed);
+  cr_assert(placed >= 10 && placed <= 16, "%d of 100 requests placed", placed);
   cr_assert(last.outcome == PlaceOutcome::Refused);
   cr_assert(last.retryAfter > 0ms && last.retryAfter <= 1800ms);
 }
@@ -148,8 +148,8 @@
   cr_assert(fixture.fleet.BusyPart() == 0.25);
 }
 
-//! Prefix uses from before a router became a hub are outdated for its followers
-//! and are not reported to them.
+//! Prefix uses that a router recorded before it became a hub are too old to
+//! pass on to its followers.
 Test(core, AHubReportsOnlyPrefixUsesSinceItBecameAHub)
 {
   FleetFixture fixture;
@@ -209,7 +209,7 @@
     counts[place.upstreamId]++;
   }
   for (const auto& [id, count] : counts) {
-    cr_assert(count == 6, "%s %d", id.c_str(), count);
+    cr_assert(count == 6, "%s got %d of 24 calls", id.c_str(), count);
   }
   cr_assert(counts.size() == 4);
 }
--- a/src/fleet/tests/crashingfleet.cpp
+++ b/src/fleet/tests/crashingfleet.cpp
@@ -9,13 +9,12 @@
 namespace {
 
 constexpr Duration kCheckInterval{ 20 };
-constexpr Duration kEntryRemovalDelay{
-  2400
-}; //!< until a crashed engine's entry is removed
+//! From an engine's crash until its entry is removed, and until it is replaced.
+constexpr Duration kEntryRemovalDelay{ 2400 };
 constexpr Duration kReplacementDelay{ 3000 };
 constexpr Duration kReportDelay{ 5 };
 constexpr Duration kResubmitDelay{ 200 };
-constexpr std::size_t kMaxAttempts = 2; //!< of a request by one router
+constexpr std::size_t kMaxAttempts = 2; //!< attempts of a submitted request
 
 ConfigPtr
 EngineConfig()
--- a/src/fleet/tests/crashingfleet.h
+++ b/src/fleet/tests/crashingfleet.h
@@ -12,7 +12,7 @@
 namespace hemlockgauge::fleet {
 
 //! Simulates routers in front of engines, where some requests crash the engine
-//! that runTime them. A crashed engine is replaced, under a new id, after some
+//! that runs them. A crashed engine is replaced, under a new id, after some
 //! seconds.
 class CrashingFleet
 {
@@ -25,7 +25,7 @@
   //! Adds a router that knows only the engines. Returns its index.
   std::size_t StartRouter();
 
-  //! Sends an ordinary request, which runTime for aRunTime, to a router. If its
+  //! Sends an ordinary request, which runs for aRunTime, to a router. If its
   //! engine crashes it is retried once on another engine. If that one crashes
   //! too, its caller sends it again, to the next router.
   void Submit(std::size_t aRouter,
--- a/src/fleet/tests/crashingrequesttests.cpp
+++ b/src/fleet/tests/crashingrequesttests.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr RequestFingerprint kCrashing{ 0xbad };
-//! Time for a crash to be known and acted on by requestCount routers.
+//! Time for a crash to be known and acted on by all routers.
 constexpr Duration kPropagationTime{ 3000 };
 constexpr std::size_t kCrashesAllowed = 3;
 
@@ -120,12 +120,14 @@
   }
   fleet.Run(20000ms);
   cr_assert(fleet.Refused() == 0, "%d refused", fleet.Refused());
-  cr_assert(
-    fleet.Served() == requestCount, "%d of %d", fleet.Served(), requestCount);
+  cr_assert(fleet.Served() == requestCount,
+            "%d of %d served",
+            fleet.Served(),
+            requestCount);
 }
 
 //! Many callers send the same ordinary request, so that copies of it run on
-//! requestCount engines when a third of these crash at once.
+//! all engines when a third of these crash at once.
 Test(quarantine, AnOrdinaryRequestThatRunsEverywhereIsNotQuarantined)
 {
   CrashingFleet fleet(6, 18);
--- a/src/fleet/tests/entitlementtests.cpp
+++ b/src/fleet/tests/entitlementtests.cpp
@@ -33,15 +33,15 @@
   fixture.fleet.SetConfig(MakeConfig(2, 40000));
   fixture.ListUpstreams(2);
   std::map<std::string, int> refused;
-  std::map<std::string, int> asked;
-  for (int interval = 0; interval < 50; ++interval) {
+  std::map<std::string, int> total;
+  for (int tick = 0; tick < 50; ++tick) {
     fixture.now += 100ms;
     fixture.fleet.Tick(fixture.now);
     for (int i = 0; i < 12; ++i) {
       const std::string workspace = i < 11 ? "flood" : "light";
       const auto place = fixture.Place(
         fixture.MakeRequest(static_cast<std::uint64_t>(i), workspace));
-      asked[workspace]++;
+      total[workspace]++;
       refused[workspace] += place.outcome == PlaceOutcome::Refused ? 1 : 0;
       if (place.outcome == PlaceOutcome::Placed) {
         fixture.fleet.FirstToken(place.attempt, fixture.now + 90ms);
@@ -49,15 +49,17 @@
       }
     }
   }
-  cr_assert(
-    refused["light"] == 0, "%d of %d", refused["light"], asked["light"]);
+  cr_assert(refused["light"] == 0,
+            "%d of %d requests refused",
+            refused["light"],
+            total["light"]);
 }
 
 //! The nominal capacity is far above what the engines can prefill, one
 //! workspace asks for all of it, and first tokens come later than predicted.
 //! Its requests stay inside the nominal share, but not inside the fair share;
 //! those of a workspace that asks for little are inside both.
-Test(core, NominalCapacityThatIsMissingIsNotPartOfTheFairShare)
+Test(core, TheFairShareFollowsTheEnginesNotTheNominalCapacity)
 {
   FleetFixture fixture;
   fixture.fleet.SetConfig(MakeConfig(2, 1e9));
@@ -85,7 +87,7 @@
   cr_assert(beyondShare > 0);
 }
 
-//! Two workspaces beyondShare their share, one asking for four times as much as
+//! Two workspaces beyond their share, one asking for four times as much as
 //! the other, were served in proportion to their demand. The one that gets less
 //! must get at least half of what the other gets.
 Test(core, WorkspacesBeyondTheirShareAreServedEvenly)
@@ -93,7 +95,7 @@
   FleetFixture fixture;
   fixture.fleet.SetConfig(MakeConfig(2, 20000));
   fixture.ListUpstreams(2);
-  std::map<std::string, double> begun;
+  std::map<std::string, double> placed;
   FakeEngines engines;
   for (int step = 0; step < 1200; ++step) {
     fixture.now += 10ms;
@@ -106,12 +108,12 @@
       fixture.MakeRequest(static_cast<std::uint64_t>(step % 7), workspace));
     engines.Begin(place, fixture.now);
     const bool isCounted = step >= 600 && place.outcome == PlaceOutcome::Placed;
-    begun[workspace] += isCounted ? 1 : 0;
+    placed[workspace] += isCounted ? 1 : 0;
   }
-  cr_assert(begun["small"] >= begun["large"] / 2,
-            "%.0f of %.0f",
-            begun["small"],
-            begun["large"]);
+  cr_assert(placed["small"] >= placed["large"] / 2,
+            "%.0f requests placed against %.0f",
+            placed["small"],
+            placed["large"]);
 }
 
 //! The requests of one flooding workspace all came to one router that has an
@@ -177,8 +179,8 @@
     half +=
       fixture.Place(fixture.MakeRequest(7, "half", 100)).passesLevel ? 1 : 0;
   }
-  cr_assert(behind == 20, "%d", behind);
-  cr_assert(half < 20, "%d", half);
+  cr_assert(behind == 20, "only %d of 20 pass the throttle", behind);
+  cr_assert(half < 20, "all %d pass the throttle", half);
 }
 
 //! A configuration without the engines' nominal capacity must drop the throttle
@@ -199,7 +201,7 @@
   for (std::uint64_t i = 0; i < 20; ++i) {
     passed += fixture.Place(fixture.MakeRequest(i)).passesLevel ? 1 : 0;
   }
-  cr_assert(passed < 20, "%d", passed);
+  cr_assert(passed < 20, "all %d pass the throttle", passed);
   fixture.fleet.SetConfig(MakeConfig(3));
   fixture.fleet.Tick(fixture.now);
   for (std::uint64_t i = 0; i < 20; ++i) {
--- a/src/fleet/tests/evacuationtests.cpp
+++ b/src/fleet/tests/evacuationtests.cpp
@@ -202,7 +202,7 @@
             PlaceOutcome::Placed);
 }
 
-//! The upstreams are listed only placed their zone was evacuated.
+//! The upstreams are listed only after their zone was evacuated.
 Test(core, AnUpstreamThatStartsInAnEvacuatedZoneGetsNoRequests)
 {
   FleetFixture fixture;
--- a/src/fleet/tests/exchangetests.cpp
+++ b/src/fleet/tests/exchangetests.cpp
@@ -194,8 +194,9 @@
   SimulatedNetwork net(7, 3);
   net.Steps(30);
   for (const auto& router : net.routers) {
-    cr_assert(
-      net.RunningElsewhere(*router) == 6, "%u", net.RunningElsewhere(*router));
+    cr_assert(net.RunningElsewhere(*router) == 6,
+              "%u running elsewhere",
+              net.RunningElsewhere(*router));
     cr_assert(router->view.Routers() == 6);
   }
 }
@@ -212,11 +213,14 @@
     net.Steps(20);
     for (const auto& router : net.routers) {
       const auto seen = static_cast<int>(net.RunningElsewhere(*router));
-      cr_assert(std::abs(seen - (size - 1)) <= 1, "%d of %d", seen, size);
+      cr_assert(std::abs(seen - (size - 1)) <= 1,
+                "%d of %d running elsewhere",
+                seen,
+                size);
       // A hub sends most: to its group and to two hubs of each other group.
       const int groups = (size + 23) / 24 + 4;
       cr_assert(router->sentDatagrams <= 20 * (26 + 2 * groups),
-                "%d",
+                "%d datagrams sent",
                 router->sentDatagrams);
     }
   }
@@ -231,13 +235,13 @@
     net.Steps(60);
     net.crossZoneSums = 0;
     net.Steps(20);
-    cr_assert(net.crossZoneSums <= 20 * 4 * 3, "%d", net.crossZoneSums);
+    cr_assert(net.crossZoneSums <= 20 * 4 * 3, "%d sums", net.crossZoneSums);
   }
 }
 
-//! A zone's representative is lost. Until the others notice, the remaining one
-//! sends the zone's sum half as often.
-Test(exchange, ALostZoneRepresentativeLeavesNoGap)
+//! A zone's speaker is lost. Until the others notice, the remaining one sends
+//! the zone's sum half as often.
+Test(exchange, ALostSpeakerLeavesNoGap)
 {
   SimulatedNetwork net(89, 4);
   net.Steps(60);
@@ -252,14 +256,14 @@
     net.Step();
     for (const auto& router : net.routers) {
       cr_assert(!router->alive || net.RunningElsewhere(*router) >= 85,
-                "%u running known after %d steps",
+                "%u running elsewhere after %d steps",
                 net.RunningElsewhere(*router),
                 i);
     }
   }
 }
 
-//! Two hubs of a group that both sentDatagrams each fleet sum caused half of
+//! Two hubs of a group that both sent each fleet sum caused half of
 //! all bytes.
 Test(exchange, TheHubsOfAGroupTakeTurns)
 {
@@ -284,8 +288,9 @@
   SimulatedNetwork net(20, 1);
   net.Steps(60);
   for (const auto& router : net.routers) {
-    cr_assert(
-      net.RunningElsewhere(*router) == 19, "%u", net.RunningElsewhere(*router));
+    cr_assert(net.RunningElsewhere(*router) == 19,
+              "%u running elsewhere",
+              net.RunningElsewhere(*router));
   }
 }
 
@@ -305,7 +310,7 @@
   for (const auto& router : net.routers) {
     if (router->alive) {
       cr_assert(net.RunningElsewhere(*router) == 36,
-                "%u",
+                "%u running elsewhere",
                 net.RunningElsewhere(*router));
     }
   }
@@ -332,7 +337,7 @@
   net.Steps(40);
   for (const auto& router : net.routers) {
     cr_assert(router->members.Alive(net.now) == 89,
-              "%zu",
+              "%zu routers alive",
               router->members.Alive(net.now));
   }
 }
@@ -436,14 +441,14 @@
     net.Steps(10);
     for (const auto& router : net.routers) {
       cr_assert(router->quarantine.HeldFor(kCrashing, 0, net.now).has_value(),
-                "%s of %d",
+                "%s of %d routers does not quarantine the request",
                 router->name.c_str(),
                 size);
     }
   }
 }
 
-//! The crashes are no longer sentDatagrams as updates when the router starts.
+//! The crashes are no longer sent as updates when the router starts.
 //! It learns of them from the quarantine lists that reports carry from time to
 //! time.
 Test(exchange, AStartingRouterLearnsWhatIsQuarantined)
--- a/src/fleet/tests/loadmodel.cpp
+++ b/src/fleet/tests/loadmodel.cpp
@@ -260,7 +260,7 @@
   }
   m_fleet.Run(m_load.length);
   for (const auto& [id, engine] : m_engines) {
-    m_result.tokensRead += engine.PrefilledTokens();
+    m_result.prefilledTokens += engine.PrefilledTokens();
   }
   return std::move(m_result);
 }
--- a/src/fleet/tests/loadmodel.h
+++ b/src/fleet/tests/loadmodel.h
@@ -37,19 +37,20 @@
 };
 
 //! A kind of request of the load. Its prompts consist of a head, a part shared
-//! by the requests of one prefix, and a part of their own.
+//! by the requests of one prefix, and a unique part.
 struct RequestKind
 {
-  std::uint32_t headTokens = 0; //!< part shared by several prefixCount
+  std::uint32_t headTokens = 0; //!< part shared by several prefixes
   int headCount = 1;
   std::uint32_t sharedTokens = 0;
   std::uint32_t uniqueTokens = 0;
   std::uint32_t outputTokens = 0;
   int prefixCount = 1;
   Duration target{ 500 };
-  double requestsPerSecond = 0; //!< requests per second of all workspaces
+  double requestsPerSecond = 0; //!< of all workspaces
 };
 
+//! The deployment and the load of a simulation.
 struct ModelLoad
 {
   int routers = 6;
@@ -86,7 +87,7 @@
 struct ModelResult
 {
   std::vector<ModelOutcome> workspaces;
-  double tokensRead = 0; //!< prefilled by all engines
+  double prefilledTokens = 0; //!< prefilled by all engines
 
   ModelOutcome Sum() const;
 };
--- a/src/fleet/tests/loadtests.cpp
+++ b/src/fleet/tests/loadtests.cpp
@@ -59,7 +59,7 @@
 
   cr_assert(median < 180, "median %.0f ms", median);
   cr_assert(sum.inTimeCost > 0.95 * sum.admittedCost,
-            "%.2f",
+            "%.2f of the admitted cost in time",
             sum.inTimeCost / sum.admittedCost);
 }
 
@@ -77,7 +77,7 @@
   const auto result = SimulateLoad(load, kSeed);
   const auto sum = result.Sum();
   cr_assert(sum.inTimeCost > 0.95 * sum.admittedCost,
-            "%.2f",
+            "%.2f of the admitted cost in time",
             sum.inTimeCost / sum.admittedCost);
   double best = 0;
   for (const auto& outcome : result.workspaces) {
@@ -86,10 +86,9 @@
   for (const auto& outcome : result.workspaces) {
     const double ratio =
       outcome.admittedCost / std::min(outcome.requestedCost, best);
-    cr_assert(
-      ratio > 0.5,
-      "admitted only %.2f of its demand or of the best workspace's cost",
-      ratio);
+    cr_assert(ratio > 0.5,
+              "admitted %.2f of its demand or of the best workspace's cost",
+              ratio);
   }
 }
 
--- a/src/fleet/tests/newstests.cpp
+++ b/src/fleet/tests/newstests.cpp
@@ -79,7 +79,7 @@
   cr_assert(listed.WantsAll({ 0, 0, 0, empty.Digest() }));
 }
 
-Test(storechangelog, AChangedEntryIsAChange)
+Test(storechangelog, AChangedEntryIsSentAgain)
 {
   NewsLog log(7);
   auto entries = Entries({ "a" });
--- a/src/fleet/tests/placementtests.cpp
+++ b/src/fleet/tests/placementtests.cpp
@@ -63,7 +63,8 @@
   }
   cr_assert(counts.size() == 18);
   for (const auto& [candidate, count] : counts) {
-    cr_assert(count > 60 && count < 150, "%d", count);
+    cr_assert(
+      count > 60 && count < 150, "%d of 1800 prefixes on an upstream", count);
   }
 }
 
--- a/src/fleet/tests/plainmodel.cpp
+++ b/src/fleet/tests/plainmodel.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 //! An upstream that runs calls in order of arrival, a fixed number at once, and
-//! refuses them while its maxQueued is full.
+//! refuses them while its queue is full.
 class ModelUpstream
 {
 public:
--- a/src/fleet/tests/plainservicetests.cpp
+++ b/src/fleet/tests/plainservicetests.cpp
@@ -25,8 +25,8 @@
   const auto result = SimulatePlainLoad(PlainLoad{}, kSeed);
   const double refused = result.RatioOf(result.refusedByUpstream);
   const double inTime = result.RatioOf(result.inTime);
-  cr_assert(refused < 0.02, "%.3f", refused);
-  cr_assert(inTime > 0.92, "%.3f", inTime);
+  cr_assert(refused < 0.02, "ratio refused by upstreams: %.3f", refused);
+  cr_assert(inTime > 0.92, "ratio answered in time: %.3f", inTime);
 }
 
 //! The same routers with more calls than the upstreams can run. The routers
@@ -40,8 +40,11 @@
   const auto result = SimulatePlainLoad(load, kSeed);
   const double inTime = result.RatioOf(result.inTime);
   const double refused = result.RatioOf(result.refusedByUpstream);
-  cr_assert(inTime > 0.85 * possible, "%.3f of %.3f", inTime, possible);
-  cr_assert(refused < 0.03, "%.3f", refused);
+  cr_assert(inTime > 0.85 * possible,
+            "ratio answered in time: %.3f, at most %.3f",
+            inTime,
+            possible);
+  cr_assert(refused < 0.03, "ratio refused by upstreams: %.3f", refused);
 }
 
 //! A small fleet, in which reports arrive within 2 ms.
@@ -54,7 +57,7 @@
   load.reportDelay = 2ms;
   const auto result = SimulatePlainLoad(load, kSeed);
   const double inTime = result.RatioOf(result.inTime);
-  cr_assert(inTime > 0.97, "%.3f", inTime);
+  cr_assert(inTime > 0.97, "ratio answered in time: %.3f", inTime);
 }
 
 Test(plainservice, TheAdmittedRatioFollowsUtilisationAndAnswers)
--- a/src/fleet/tests/prefixcopytests.cpp
+++ b/src/fleet/tests/prefixcopytests.cpp
@@ -182,8 +182,9 @@
       fixture.fleet.Upstreams().Put(entry);
     }
     fixture.fleet.FollowUpstreams(fixture.now);
-    cr_assert(
-      fixture.Place(7, { first.upstream }).copyFrom.port == 0, "%s", how);
+    cr_assert(fixture.Place(7, { first.upstream }).copyFrom.port == 0,
+              "copied from an upstream that is %s",
+              how);
   }
 }
 
@@ -231,7 +232,7 @@
     fixture.Serve(7);
     fixture.ReportPrefill(400000, 0);
     const bool held = fixture.Place(7).missingTokens == 1000;
-    cr_assert(held == (output == 0), "%u", output);
+    cr_assert(held == (output == 0), "%u output tokens", output);
   }
 }
 
@@ -281,7 +282,7 @@
     fixture.Place(7);
     fixture.ReportPrefill(100000, running);
     const bool held = fixture.Place(7).missingTokens == 1000;
-    cr_assert(held == (running == 1), "%u", running);
+    cr_assert(held == (running == 1), "%u running requests", running);
   }
 }
 
--- a/src/fleet/tests/readingqueuetests.cpp
+++ b/src/fleet/tests/readingqueuetests.cpp
@@ -24,7 +24,8 @@
   queue.Sent(1, 10000, 0, 200, 1000ms);
   queue.Sent(2, 10000, 200, 200, 1000ms);
   cr_assert(queue.Unread(1100ms) == 15000);
-  cr_assert(queue.Unread(1200ms) == 11000, "%.0f", queue.Unread(1200ms));
+  cr_assert(
+    queue.Unread(1200ms) == 11000, "%.0f unread tokens", queue.Unread(1200ms));
   queue.Done(1);
   cr_assert(queue.Unread(1300ms) == 5000);
 }
--- a/src/fleet/tests/retrytests.cpp
+++ b/src/fleet/tests/retrytests.cpp
@@ -68,8 +68,7 @@
   failed.target = 600ms;
   failed.waited = 300ms;
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::Retry);
-  failed.waited =
-    301ms; // a router that is cut off must not hold its callers for longer
+  failed.waited = 301ms; // a cut-off router must not hold its callers
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
   failed.waited = 0ms;
   failed.attemptsNotRun = kMostNotRunAttempts;
--- a/src/fleet/tests/sourcetests.cpp
+++ b/src/fleet/tests/sourcetests.cpp
@@ -162,7 +162,7 @@
 
 }
 
-Test(sources, ASilentSourceIsSkippedAndRetriedLater)
+Test(sourceselector, ASilentSourceIsSkippedAndRetriedLater)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB, kStore }, false, {}, {} }, 0ms);
@@ -181,19 +181,18 @@
   cr_assert(policy.Current() == kHubA);
 }
 
-Test(sources, ASourceThatIsItselfCutOffIsSkipped)
+Test(sourceselector, ASourceThatIsItselfCutOffIsSkipped)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
   policy.Answered(kSourceStale + 1ms, 100ms);
-  cr_assert(
-    !policy.Tick(200ms)); // not at once, or all routers would switch in circles
+  cr_assert(!policy.Tick(200ms)); // else all routers would switch in circles
   policy.Answered(kSourceStale + 1ms, kSourceDwell);
   cr_assert(policy.Tick(kSourceDwell + 1ms));
   cr_assert(policy.Current() == kHubB);
 }
 
-Test(sources, AStoreThatIsTheOnlySourceIsKept)
+Test(sourceselector, AStoreThatIsTheOnlySourceIsKept)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kStore }, false, {}, {} }, 0ms);
@@ -201,7 +200,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, ANewOrderIsFollowedUnlessTheFirstSourceHadFailed)
+Test(sourceselector, ANewOrderIsFollowedUnlessTheFirstSourceHadFailed)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kStore }, false, {}, {} }, 0ms);
@@ -216,7 +215,7 @@
   cr_assert(policy.Current() == kHubB);
 }
 
-Test(sources, ATakeoverLastsForAWhileAndIsRepeatedIfNeeded)
+Test(sourceselector, ATakeoverLastsForAWhileAndIsRepeatedIfNeeded)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA }, false, {}, {} }, 0ms);
@@ -237,7 +236,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, IfAllSourcesAreCutOffEachIsKeptLongerThanTheOneBefore)
+Test(sourceselector, IfAllSourcesAreCutOffEachIsKeptLongerThanTheOneBefore)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
@@ -246,10 +245,10 @@
     policy.Answered(kSourceStale + 1ms, now);
     changes += policy.Tick(now) ? 1 : 0;
   }
-  cr_assert(changes <= 9, "%d", changes);
+  cr_assert(changes <= 9, "%d changes of source", changes);
 }
 
-Test(sources, ARouterWithACutOffSourceFollowsTheFreshestReaderAtOnce)
+Test(sourceselector, ARouterWithACutOffSourceFollowsTheFreshestReaderAtOnce)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
@@ -262,7 +261,7 @@
 //! The store is silent for two seconds for all routers of a small fleet, and a
 //! configuration is written right after. All routers left the store and came
 //! back to it three seconds later, too late for the configuration.
-Test(sources, AStoreThatIsSilentForAllIsKept)
+Test(sourceselector, AStoreThatIsSilentForAllIsKept)
 {
   SourcePolicy policy;
   const std::vector<NewsSource> order{ kStore, kHubA, kHubB };
@@ -276,14 +275,14 @@
 
 //! Even after a longer silence the store is tried again after each other
 //! source.
-Test(sources, AStoreReaderReturnsToTheStoreFromACutOffSource)
+Test(sourceselector, AStoreReaderReturnsToTheStoreFromACutOffSource)
 {
   SourcePolicy policy;
   policy.SetOptions({ { kStore, kHubA, kHubB }, false, {}, {} }, 0ms);
   auto now = kStoreSilentForAll + 1ms;
   cr_assert(policy.Tick(now));
   cr_assert(policy.Current() == kHubA);
-  for (int i = 0; i < 4; ++i) { // however often it failed
+  for (int i = 0; i < 4; ++i) { // however often the store failed
     now += kSourceDwell + 1ms;
     policy.Answered(kSourceStale + 1ms, now);
     cr_assert(policy.Tick(now));
@@ -293,7 +292,7 @@
   }
 }
 
-Test(sources, AStartingRouterAsksASeedAndTheStoreSoonAfter)
+Test(sourceselector, AStartingRouterAsksASeedAndTheStoreSoonAfter)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -308,7 +307,7 @@
 
 //! A starting router that has data of the store and knows of a large fleet
 //! follows a hub of its group.
-Test(sources, ARouterThatHasStartedAndKnowsTheFleetFollowsItsHub)
+Test(sourceselector, ARouterThatHasStartedAndKnowsTheFleetFollowsItsHub)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -324,7 +323,7 @@
   cr_assert(MakeSourceOptions(view, plan).order.front() == kHubA);
 }
 
-Test(sources, AStartingSeedReadsTheStore)
+Test(sourceselector, AStartingSeedReadsTheStore)
 {
   SourceView view;
   view.seeds = { kHubB.address };
@@ -334,7 +333,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, InASmallFleetEachRouterReadsTheStore)
+Test(sourceselector, InASmallFleetEachRouterReadsTheStore)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -348,7 +347,7 @@
 
 //! One router of a small fleet reaches the store again before the others, which
 //! had switched to each other. They stayed there for four seconds.
-Test(sources, InASmallFleetTheFreshestReaderIsASourceToo)
+Test(sourceselector, InASmallFleetTheFreshestReaderIsASourceToo)
 {
   SourceView view;
   view.self = { "10.0.0.9", 1 };
@@ -364,11 +363,12 @@
 //! Hundreds of routers without any fault. With a store reader in each group,
 //! and all starting routers reading the store, 1,851 calls were made in 50
 //! seconds.
-Test(sources, AFewReadersOfDifferentZonesServeALargeFleet)
+Test(sourceselector, AFewReadersOfDifferentZonesServeALargeFleet)
 {
   SimulatedFleet fleet;
   fleet.Run(20000ms);
-  cr_assert(fleet.callers.size() == kStoreReaders, "%zu", fleet.callers.size());
+  cr_assert(
+    fleet.callers.size() == kStoreReaders, "%zu callers", fleet.callers.size());
   cr_assert(fleet.calls <= 21 * static_cast<int>(kStoreReaders));
   cr_assert(fleet.OldestProof() < kTakeoverAfter);
   std::set<std::uint32_t> zones;
@@ -382,7 +382,7 @@
 
 //! The store refuses its readers and half of the other routers. No router may
 //! be without proof for as long as keys may be used without one.
-Test(sources, OthersTakeOverFromReadersThatAreCutOff)
+Test(sourceselector, OthersTakeOverFromReadersThatAreCutOff)
 {
   SimulatedFleet fleet;
   fleet.Run(5000ms);
@@ -400,7 +400,7 @@
 
 //! The store is unavailable for ten seconds. All routers of a large fleet, when
 //! they turned to it, made 5,310 calls.
-Test(sources, AnOutageDoesNotBringAllRoutersToTheStore)
+Test(sourceselector, AnOutageDoesNotBringAllRoutersToTheStore)
 {
   SimulatedFleet fleet;
   fleet.Run(5000ms);
@@ -408,8 +408,8 @@
   fleet.callers.clear();
   fleet.storeAnswers = [](const SimulatedRouter&) { return false; };
   fleet.Run(10000ms);
-  cr_assert(fleet.callers.size() <= 60, "%zu", fleet.callers.size());
-  cr_assert(fleet.calls <= 400, "%d", fleet.calls);
+  cr_assert(fleet.callers.size() <= 60, "%zu callers", fleet.callers.size());
+  cr_assert(fleet.calls <= 400, "%d calls", fleet.calls);
   fleet.storeAnswers = [](const SimulatedRouter&) { return true; };
   fleet.Run(2000ms);
   cr_assert(fleet.OldestProof() < kTakeoverAfter);
@@ -417,7 +417,7 @@
 
 //! Three hundred routers that start at once would all list the store, where
 //! each page is a call, although their seed is about to have the list.
-Test(sources, ASourceWithAPendingAnswerIsWaitedFor)
+Test(sourceselector, ASourceWithAPendingAnswerIsWaitedFor)
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
@@ -435,7 +435,7 @@
   cr_assert(policy.Current() == kStore);
 }
 
-Test(sources, ASilentSourceIsLeftAfterTheSeedWaitAtTheStart)
+Test(sourceselector, ASilentSourceIsLeftAfterTheSeedWaitAtTheStart)
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
--- a/src/fleet/tests/warmuptests.cpp
+++ b/src/fleet/tests/warmuptests.cpp
@@ -24,7 +24,7 @@
   return hashes;
 }
 
-//! WarmUpFleet with one cold upstream, each with its own view of the fleet.
+//! Routers with one cold upstream, each with its own view of the fleet.
 struct WarmUpFleet
 {
   void Add(const RouterSet& aView)
@@ -34,7 +34,7 @@
     routers.back().SetRouters(aView);
   }
 
-  //! Returns the max requests that all routers send in any one second of five.
+  //! Returns the most requests that all routers send in any one second of five.
   std::size_t MaxInASecond()
   {
     std::vector<TimePoint> sent;
@@ -110,6 +110,7 @@
     fleet.FollowUpstreams(now);
   }
 
+  //! Makes this router the owner of all cold upstreams.
   void OwnAll()
   {
     ExchangePlan plan;
@@ -128,8 +129,8 @@
     fleet.Add({ self, hashes, true });
   }
   const auto max = fleet.MaxInASecond();
-  cr_assert(max > 5, "%zu", max);
-  cr_assert(max <= kColdPerSecond + 1, "%zu", max);
+  cr_assert(max > 5, "%zu requests in a second", max);
+  cr_assert(max <= kColdPerSecond + 1, "%zu requests in a second", max);
 }
 
 //! Half of the routers know routers that the others don't.
@@ -144,7 +145,7 @@
   cr_assert(static_cast<double>(fleet.MaxInASecond()) <= kMaxInASecond);
 }
 
-//! WarmUpFleet that have just started may know only themselves.
+//! Routers that have just started may know only themselves.
 Test(warmup, RoutersThatJustStartedSendNothing)
 {
   WarmUpFleet fleet;
@@ -177,7 +178,7 @@
   }
 }
 
-//! Each half may have an owner of its own.
+//! Each half of a split fleet may have an owner of its own.
 Test(warmup, AFleetSplitInTwoKeepsTheLimit)
 {
   WarmUpFleet fleet;
@@ -286,7 +287,9 @@
       fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
     }
   }
-  cr_assert(placed >= 4 && placed <= 2 * kColdPerSecond + 1, "%d", placed);
+  cr_assert(placed >= 4 && placed <= 2 * kColdPerSecond + 1,
+            "%d requests placed in 2 s",
+            placed);
 }
 
 //! Cold upstreams are limited only where their service states a rate for them.
