--- a/src/fleet/tests/admissiontests.cpp
+++ b/src/fleet/tests/admissiontests.cpp
@@ -173,17 +173,17 @@
 
 Test(workspacethrottle, DemandAboveTheMaxMinSharePassesInProportion)
 {
-  PassLevel level;
+  PassLevel throttle;
   WorkspaceRates rates;
   rates[WorkspaceId(1)] = { 100, 100 };
   rates[WorkspaceId(2)] = { 400, 200 };
   rates[WorkspaceId(3)] = { 800, 200 };
-  level.Update(rates, 500);
-  cr_assert(level.Level() == 200);
+  throttle.Update(rates, 500);
+  cr_assert(throttle.Level() == 200);
   std::map<int, int> passed;
   for (int i = 0; i < 100; ++i) {
     for (int workspace = 1; workspace <= 3; ++workspace) {
-      passed[workspace] += level.Pass(WorkspaceId(workspace)) ? 1 : 0;
+      passed[workspace] += throttle.Pass(WorkspaceId(workspace)) ? 1 : 0;
     }
   }
   cr_assert(passed[1] == 100);
@@ -195,17 +195,17 @@
 //! their predicted wait got less than half of what the other one got.
 Test(workspacethrottle, AWorkspaceFarBelowItsMaxMinSharePassesMoreOften)
 {
-  PassLevel level;
+  PassLevel throttle;
   WorkspaceRates rates;
   rates[WorkspaceId(1)] = { 800, 100 };
   rates[WorkspaceId(2)] = { 800, 400 };
-  level.Update(rates, 400);
-  cr_assert(level.Level() == 200);
+  throttle.Update(rates, 400);
+  cr_assert(throttle.Level() == 200);
   int behind = 0;
   int ahead = 0;
   for (int i = 0; i < 100; ++i) {
-    behind += level.Pass(WorkspaceId(1)) ? 1 : 0;
-    ahead += level.Pass(WorkspaceId(2)) ? 1 : 0;
+    behind += throttle.Pass(WorkspaceId(1)) ? 1 : 0;
+    ahead += throttle.Pass(WorkspaceId(2)) ? 1 : 0;
   }
   cr_assert(behind == 50);
   cr_assert(ahead == 12);
@@ -213,11 +213,11 @@
 
 Test(workspacethrottle, EverythingPassesWhileCapacityExceedsDemand)
 {
-  PassLevel level;
+  PassLevel throttle;
   WorkspaceRates rates;
   rates[WorkspaceId(1)].asked = 100;
-  level.Update(rates, 500);
-  cr_assert(level.Pass(WorkspaceId(1)));
-  cr_assert(level.Pass(WorkspaceId(2)),
+  throttle.Update(rates, 500);
+  cr_assert(throttle.Pass(WorkspaceId(1)));
+  cr_assert(throttle.Pass(WorkspaceId(2)),
             "a workspace that is not in the rates passes");
 }
--- a/src/fleet/tests/evacuationtests.cpp
+++ b/src/fleet/tests/evacuationtests.cpp
@@ -1,5 +1,5 @@
-#include "corefixture.h"
 #include "fleet/newslog.h"
+#include "fleetfixture.h"
 
 #include <criterion/criterion.h>
 
--- a/src/fleet/tests/fleettests.cpp
+++ b/src/fleet/tests/fleettests.cpp
@@ -125,10 +125,10 @@
       sum += asked[i];
     }
     const double capacity = *rc::gen::inRange(1, 20000);
-    const double level = MaxMinLevel(rates, capacity);
+    const double share = MaxMinLevel(rates, capacity);
     double given = 0;
     for (const double one : asked) {
-      given += std::min(one, level);
+      given += std::min(one, share);
     }
     RC_ASSERT(given <= capacity + 1e-6);
     RC_ASSERT(given >= std::min(sum, capacity) - 1e-6);
--- a/src/fleet/tests/loadtests.cpp
+++ b/src/fleet/tests/loadtests.cpp
@@ -13,10 +13,10 @@
 constexpr std::uint32_t kSeed = 20261202;
 constexpr int kUsualRequests = 530; //!< requests per second of all kinds
 
-//! Load of a large deployment at aRateFactor its usual rate, at half its size:
+//! Load of a large deployment at aFactor its usual rate, at half its size:
 //! many routers that learn of each other's load late.
 ModelLoad
-LargeDeploymentLoad(double aRateFactor)
+LargeDeploymentLoad(double aFactor)
 {
   ModelLoad load;
   load.routers = 40;
@@ -26,16 +26,9 @@
   load.tokensPerSecond = 650000;
   load.engineTokensPerMs = 33;
   load.kinds = {
-    { 2520,
-      4,
-      3780,
-      2890,
-      51,
-      195,
-      800ms,
-      0.30 * kUsualRequests * aRateFactor },
-    { 341, 20, 227, 1800, 24, 250, 500ms, 0.38 * kUsualRequests * aRateFactor },
-    { 103, 20, 69, 543, 279, 300, 400ms, 0.32 * kUsualRequests * aRateFactor },
+    { 2520, 4, 3780, 2890, 51, 195, 800ms, 0.30 * kUsualRequests * aFactor },
+    { 341, 20, 227, 1800, 24, 250, 500ms, 0.38 * kUsualRequests * aFactor },
+    { 103, 20, 69, 543, 279, 300, 400ms, 0.32 * kUsualRequests * aFactor },
   };
   return load;
 }
--- a/src/fleet/tests/newstests.cpp
+++ b/src/fleet/tests/newstests.cpp
@@ -22,9 +22,9 @@
 }
 
 NewsAsk
-MakeRequestAfter(const News& aNews, std::uint64_t aConfigVersion)
+MakeRequestAfter(const News& aUpdate, std::uint64_t aConfigVersion)
 {
-  return { aNews.life, aNews.sequence, aConfigVersion };
+  return { aUpdate.life, aUpdate.sequence, aConfigVersion };
 }
 
 }
@@ -55,17 +55,17 @@
   one.SetUpstreams(Entries({ "a", "b" }));
   other.SetUpstreams(Entries({ "b" }));
   other.SetUpstreams(Entries({ "a", "b" }));
-  const NewsAsk ask{ 0, 0, 0, one.Digest() };
+  const NewsAsk request{ 0, 0, 0, one.Digest() };
   cr_assert(one.Digest() != 0 && one.Digest() == other.Digest());
-  cr_assert(!other.WantsAll(ask));
-  const auto news = other.Answer(ask, 0ms);
-  cr_assert(!news.full && news.upstreams.empty() && news.removed.empty());
-  const auto next = MakeRequestAfter(news, 0);
+  cr_assert(!other.WantsAll(request));
+  const auto update = other.Answer(request, 0ms);
+  cr_assert(!update.full && update.upstreams.empty() && update.removed.empty());
+  const auto next = MakeRequestAfter(update, 0);
   cr_assert(!other.HasNews(next));
   auto entries = Entries({ "a", "b" });
   entries["a"].draining = true;
   other.SetUpstreams(entries);
-  cr_assert(other.WantsAll(ask));
+  cr_assert(other.WantsAll(request));
   cr_assert(other.Answer(next, 0ms).upstreams.size() == 1);
 }
 
@@ -108,7 +108,7 @@
   rc::check([] {
     NewsLog log(7);
     std::map<std::string, UpstreamEntry> followed;
-    NewsAsk ask;
+    NewsAsk request;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
       const auto ids = *rc::gen::container<std::vector<std::string>>(
@@ -117,17 +117,17 @@
       if (*rc::gen::inRange(0, 3) != 0 && i + 1 < steps) {
         continue;
       }
-      const auto news = log.Answer(ask, 0ms);
-      if (news.full) {
+      const auto update = log.Answer(request, 0ms);
+      if (update.full) {
         followed.clear();
       }
-      for (const auto& entry : news.upstreams) {
+      for (const auto& entry : update.upstreams) {
         followed[entry.id] = entry;
       }
-      for (const auto& id : news.removed) {
+      for (const auto& id : update.removed) {
         followed.erase(id);
       }
-      ask = MakeRequestAfter(news, 0);
+      request = MakeRequestAfter(update, 0);
       if (i + 1 == steps) {
         RC_ASSERT(followed == Entries(ids));
       }
--- a/src/fleet/tests/plainservicetests.cpp
+++ b/src/fleet/tests/plainservicetests.cpp
@@ -74,20 +74,20 @@
 {
   const auto service = ServiceId(7);
   const CallRates unanswered{ { service, { 200, 0 } } };
-  CallLevels levels;
+  CallLevels throttle;
   const auto countPassing = [&] {
     int passed = 0;
     for (std::uint64_t key = 0; key < 100; ++key) {
-      passed += levels.Passes(service, key) ? 1 : 0;
+      passed += throttle.Passes(service, key) ? 1 : 0;
     }
     return passed;
   };
   for (int i = 0; i < 100; ++i) {
-    levels.Update({ { service, { 48, 48 } } }, unanswered);
+    throttle.Update({ { service, { 48, 48 } } }, unanswered);
   }
   cr_assert(countPassing() == 0);
   for (int i = 0; i < 10; ++i) {
-    levels.Update({ { service, { 0, 48 } } }, unanswered);
+    throttle.Update({ { service, { 0, 48 } } }, unanswered);
   }
   cr_assert(countPassing() == 100);
 }
--- a/src/fleet/tests/suitabilitytests.cpp
+++ b/src/fleet/tests/suitabilitytests.cpp
@@ -1,4 +1,4 @@
-#include "corefixture.h"
+#include "fleetfixture.h"
 
 #include <criterion/criterion.h>
 
--- a/src/fleet/tests/warmuptests.cpp
+++ b/src/fleet/tests/warmuptests.cpp
@@ -1,5 +1,5 @@
-#include "corefixture.h"
 #include "fleet/membership.h"
+#include "fleetfixture.h"
 
 #include <criterion/criterion.h>
 
