--- a/src/decision/decisiontypes.h
+++ b/src/decision/decisiontypes.h
@@ -149,7 +149,7 @@
   std::vector<FreeHint> hints;
   std::vector<SlotReport> reports;
   std::vector<SlotGrant> grants;
-  quarantine::CrashNews crashNews;
+  quarantine::CrashUpdates crashNews;
 };
 
 enum class AttemptOutcome
--- a/src/decision/internal/crashflow.cpp
+++ b/src/decision/internal/crashflow.cpp
@@ -5,7 +5,7 @@
 namespace hemlockgauge::decision {
 
 using quarantine::CheckResult;
-using quarantine::CrashNews;
+using quarantine::CrashUpdates;
 using quarantine::RequestFingerprint;
 
 void
@@ -18,7 +18,7 @@
     return;
   }
   if (aOutcome == AttemptOutcome::Completed) {
-    m_state.quarantine.EndedWell(fingerprint, m_state.now);
+    m_state.quarantine.RecordSuccess(fingerprint, m_state.now);
     return;
   }
   const auto* host = m_state.hosts.FindUpstream(aUpstream);
@@ -26,7 +26,8 @@
                      aOutcome == AttemptOutcome::BrokenLate;
   //! NOTE one that leaves ends its connections without a crash.
   if (broke && host != nullptr && host->state == HostState::Live) {
-    m_state.crashChecks.Broke(aUpstream, fingerprint, m_state.now);
+    m_state.crashChecks.RecordBrokenConnection(
+      aUpstream, fingerprint, m_state.now);
   }
 }
 
@@ -36,31 +37,32 @@
   if (aRequest.fingerprint == RequestFingerprint{}) {
     return std::nullopt;
   }
-  const auto unsure = m_state.crashChecks.Waiting(aRequest.fingerprint);
-  return m_state.quarantine.HeldFor(aRequest.fingerprint, unsure, m_state.now);
+  const auto unsure = m_state.crashChecks.PendingChecks(aRequest.fingerprint);
+  return m_state.quarantine.RefusedFor(
+    aRequest.fingerprint, unsure, m_state.now);
 }
 
 void
 CrashFlow::Take(const UpstreamChecked& aEvent)
 {
-  const auto broken = m_state.crashChecks.Take(aEvent.upstream);
+  const auto broken = m_state.crashChecks.EndCheck(aEvent.upstream);
   if (aEvent.result != CheckResult::Crashed) {
     return;
   }
   for (const auto request : broken) {
-    m_state.quarantine.Crashed(request, aEvent.upstream, m_state.now);
+    m_state.quarantine.RecordCrash(request, aEvent.upstream, m_state.now);
   }
 }
 
 void
-CrashFlow::Take(const CrashNews& aNews)
+CrashFlow::Take(const CrashUpdates& aNews)
 {
   m_state.quarantine.Take(aNews, m_state.now);
 }
 
 void
 CrashFlow::Tell(const std::vector<RouterId>& aNeighbours,
-                const CrashNews& aNews)
+                const CrashUpdates& aNews)
 {
   if (aNews.IsEmpty()) {
     return;
@@ -90,20 +92,20 @@
 bool
 CrashFlow::Tick(const std::vector<RouterId>& aNeighbours)
 {
-  for (const auto upstream : m_state.crashChecks.TakeDue(m_state.now)) {
+  for (const auto upstream : m_state.crashChecks.StartDueChecks(m_state.now)) {
     if (const auto* host = m_state.hosts.FindUpstream(upstream)) {
       m_state.Act(CheckUpstream{ upstream, host->address });
     } else {
-      m_state.crashChecks.Take(upstream); // it left meanwhile
+      m_state.crashChecks.EndCheck(upstream); // it left meanwhile
     }
   }
   m_state.quarantine.Tick(m_state.now);
   const bool inTurn = m_state.now - m_toldInTurnAt >= kQuarantineTold;
   if (inTurn) {
     m_toldInTurnAt = m_state.now;
-    Tell(aNeighbours, m_state.quarantine.TellInTurn(m_state.now));
+    Tell(aNeighbours, m_state.quarantine.NextCrashRefresh(m_state.now));
   } else {
-    Tell(aNeighbours, m_state.quarantine.TellNews(m_state.now));
+    Tell(aNeighbours, m_state.quarantine.TakeUnreportedCrashes(m_state.now));
   }
   return NoteChanges();
 }
--- a/src/decision/internal/crashflow.h
+++ b/src/decision/internal/crashflow.h
@@ -24,14 +24,14 @@
   std::optional<Duration> HeldFor(const RequestQueued& aRequest) const;
 
   void Take(const UpstreamChecked& aEvent);
-  void Take(const quarantine::CrashNews& aNews);
+  void Take(const quarantine::CrashUpdates& aNews);
   //! Looks at upstreams that are due, and tells aNeighbours what is new.
   //! Returns true if a request was quarantined since the last time.
   bool Tick(const std::vector<RouterId>& aNeighbours);
 
 private:
   void Tell(const std::vector<RouterId>& aNeighbours,
-            const quarantine::CrashNews& aNews);
+            const quarantine::CrashUpdates& aNews);
   bool NoteChanges();
 
   CoreState& m_state;
--- a/src/decision/internal/peerflow.cpp
+++ b/src/decision/internal/peerflow.cpp
@@ -305,7 +305,7 @@
   frame.members = m_state.membership.Notices();
   frame.hosts = m_state.hosts.All();
   frame.versions = m_state.configuration.Versions();
-  frame.crashNews = m_state.quarantine.TellInTurn(m_state.now);
+  frame.crashNews = m_state.quarantine.NextCrashRefresh(m_state.now);
 }
 
 void
--- a/src/fleet/queuelimit.h
+++ b/src/fleet/acceptqueuelimit.h
@@ -12,6 +12,6 @@
 //! makes all of them late. The kernel drops connections beyond the limit at no
 //! cost to the router, and callers retry them later.
 std::size_t
-QueueLimit(double aProcessorShare);
+AcceptQueueLimit(double aProcessorShare);
 
 }
--- a/src/fleet/admission.h
+++ b/src/fleet/admission.h
@@ -9,8 +9,9 @@
 //! upstream was found.
 struct AdmissionInput
 {
-  double foreseenMs = 0; //!< time to its first token or its answer
-  double ownMs = 0;      //!< part of foreseenMs: prefill of its unshared tokens
+  double predictedMs = 0; //!< time to its first token or its answer
+  double ownPrefillMs =
+    0;                 //!< part of predictedMs: prefill of its unshared tokens
   double unseenMs = 0; //!< mean wait from load not reported yet, see UnseenLoad
   Duration waited{};   //!< since the request arrived
   Duration target{};   //!< its route's target latency, from arrival
@@ -18,9 +19,9 @@
   bool insideShare = true; //!< its workspace is within its fair share
   //! The workspace is above its share of what the engines can process, but
   //! within its share of the nominal capacity, FleetConfig::tokensPerSecond.
-  bool insidePromise = false;
-  //! Others wait, and the workspace gets less than the fraction kStarved of
-  //! what it asks for and of what the best served workspace gets.
+  bool insideNominalShare = false;
+  //! Others wait, and the workspace gets less than the fraction kStarvedRatio
+  //! of what it asks for and of what the best served workspace gets.
   bool starved = false;
   //! The workspace's current rate divided by the highest rate of any workspace
   //! if the load served now were split by max-min fair share. Above 1, the
@@ -28,16 +29,17 @@
   double excess = 1;
   //! Some workspaces that are not ahead get less than they ask for.
   bool othersWait = true;
-  bool placesFree = false; //!< the upstream has free slots and no backlog
-  bool passesLevel = true; //!< passes its workspace's rate limit, see PassLevel
-  bool passesCallLevel = true; //!< passes its plain service's rate limit
-  bool idle = false;           //!< no request runs at the upstream
+  bool hasFreeSlots = false; //!< the upstream has free slots and no backlog
+  bool passesThrottle =
+    true; //!< passes its workspace's rate limit, see WorkspaceThrottle
+  bool passesCallThrottle = true; //!< passes its plain service's rate limit
+  bool upstreamIdle = false;      //!< no request runs at the upstream
 };
 
 //! The admission decision.
 struct Admission
 {
-  bool taken = true;
+  bool admitted = true;
   Duration retryAfter{}; //!< for the caller of a refused request
 };
 
--- a/src/fleet/callrates.h
+++ b/src/fleet/callrates.h
@@ -9,19 +9,19 @@
 //! Rates of calls to a plain service, in calls per second.
 struct CallRate
 {
-  double asked = 0;    //!< received from callers
+  double demand = 0;   //!< received from callers
   double answered = 0; //!< answered by upstreams, failures included
 };
 
 using CallRates = std::map<ServiceId, CallRate>;
 
 //! Measures calls to plain services and their answers at this router as
-//! exponentially decaying rates with the time constant kShareMemory.
+//! exponentially decaying rates with the time constant kRateTimeConstant.
 class CallMeter
 {
 public:
-  void Asked(ServiceId aService, TimePoint aNow);
-  void Answered(ServiceId aService, TimePoint aNow);
+  void AddCall(ServiceId aService, TimePoint aNow);
+  void AddAnswer(ServiceId aService, TimePoint aNow);
   //! Returns the rates as of aNow and drops entries with negligible rates.
   const CallRates& Rates(TimePoint aNow);
 
@@ -42,6 +42,6 @@
 //! the service's time would be lost. The rates change slowly, so routers agree
 //! without knowing the queue.
 double
-PassingPart(const CallRate& aRate, double aUtilisation);
+AdmittedRatio(const CallRate& aRate, double aUtilisation);
 
 }
--- a/src/fleet/exchangeplan.h
+++ b/src/fleet/exchangeplan.h
@@ -27,25 +27,26 @@
   std::vector<base::Address> groupHubs;
   std::size_t hubRank = 0; //!< index of this router in groupHubs, if a hub
   //! Routers that this router sends its own report to.
-  std::vector<base::Address> tell;
+  std::vector<base::Address> reportTargets;
   //! Hubs of the zone's other groups. They get the sum of this hub's group.
-  std::vector<base::Address> hubs;
+  std::vector<base::Address> otherGroupHubs;
   //! The other routers of this hub's group. They get the fleet sum.
   std::vector<base::Address> followers;
   //! All other hubs of the zone. This router forwards them the sums that it
   //! gets from other zones.
-  std::vector<base::Address> relays;
+  std::vector<base::Address> zoneHubs;
   //! For each other zone, the hubs that accept zone sums. Empty unless this
   //! router is a speaker of its zone.
   std::vector<std::vector<base::Address>> otherZones;
-  std::uint64_t speakers = 0; //!< number of speakers of this zone
-  std::uint64_t speaker = 0;  //!< index of this router among them, if it is one
-  //! The first kStoreReaders routers in the order of readRank. All routers
+  std::uint64_t speakerCount = 0; //!< number of speakers of this zone
+  std::uint64_t speakerIndex =
+    0; //!< index of this router among them, if it is one
+  //! The first kStoreReaders routers in the order of storeReadRank. All routers
   //! compute the same list; it spans availability zones where there are
   //! several.
-  std::vector<base::Address> readers;
+  std::vector<base::Address> storeReaders;
   //! Position of this router in the order in which routers turn to the store.
-  std::size_t readRank = 0;
+  std::size_t storeReadRank = 0;
 
   //! The routers that cold upstreams are distributed over.
   RouterSet routers;
@@ -54,33 +55,34 @@
   //! them to each other directly.
   bool IsLarge() const { return !groupHubs.empty(); }
   //! Whether this router sends sums to others. In a small fleet, none does.
-  bool SumsUp() const { return isHub && IsLarge(); }
+  bool AggregatesReports() const { return isHub && IsLarge(); }
   //! Whether this hub sends the fleet sum to its group in period aPeriod. The
   //! hubs of a group take turns: each router gets one sum per period, or one
   //! in two periods after a hub was lost.
-  bool TellsFollowers(std::uint64_t aPeriod) const
+  bool SendsFleetSum(std::uint64_t aPeriod) const
   {
     return groupHubs.empty() || aPeriod % groupHubs.size() == hubRank;
   }
   //! Whether this router sends the zone sum to other zones along with its
   //! report number aSequence. The speakers of a zone take turns; if one is
   //! lost, half of the zone sums still arrive.
-  bool Speaks(std::uint64_t aSequence) const
+  bool SendsZoneSum(std::uint64_t aSequence) const
   {
-    return !otherZones.empty() && aSequence % speakers == speaker;
+    return !otherZones.empty() && aSequence % speakerCount == speakerIndex;
   }
   //! Returns the receivers of that zone sum: one hub of each other zone, in
   //! rotation.
-  std::vector<base::Address> ZoneContacts(std::uint64_t aSequence) const;
+  std::vector<base::Address> ZoneSumTargets(std::uint64_t aSequence) const;
 };
 
 //! Computes the plan of aSelf. aOthers holds all other routers that are alive.
 //!
-//! Up to kMeshMost routers form a full mesh. In a larger fleet, the routers of
-//! each availability zone are split into groups, and two hubs per group, which
-//! all routers determine alike, sum up reports and pass them on. The hubs of a
-//! zone exchange their group sums. Two of them, the speakers of the zone, send
-//! its sum to the other zones, whose hubs forward it among themselves.
+//! Up to kMaxMeshRouters routers form a full mesh. In a larger fleet, the
+//! routers of each availability zone are split into groups, and two hubs per
+//! group, which all routers determine alike, sum up reports and pass them on.
+//! The hubs of a zone exchange their group sums. Two of them, the speakers of
+//! the zone, send its sum to the other zones, whose hubs forward it among
+//! themselves.
 //!
 //! Per period, a router then sends and receives a few datagrams whatever the
 //! fleet's size, and a hub a few dozen. Traffic between zones grows only with
--- a/src/fleet/fairshare.h
+++ b/src/fleet/fairshare.h
@@ -9,8 +9,8 @@
 //! A workspace's demand and what was admitted of it, in tokens per second.
 struct WorkspaceRate
 {
-  double asked = 0;
-  double begun = 0;
+  double demand = 0;
+  double admitted = 0;
 };
 
 using WorkspaceRates = std::map<WorkspaceId, WorkspaceRate>;
@@ -20,26 +20,26 @@
 //! that share, the most that any workspace gets; infinity if the capacity
 //! covers all demands.
 double
-MaxMinLevel(const WorkspaceRates& aRates, double aCapacity);
+MaxMinShare(const WorkspaceRates& aRates, double aCapacity);
 
 //! Measures the demand and the admitted work of each workspace at this router
-//! as exponentially decaying rates with the time constant kShareMemory.
+//! as exponentially decaying rates with the time constant kRateTimeConstant.
 class DemandMeter
 {
 public:
   //! Counts a request that arrived. aCost: see Work::Cost.
-  void Asked(WorkspaceId aWorkspace, double aCost, TimePoint aNow);
+  void AddDemand(WorkspaceId aWorkspace, double aCost, TimePoint aNow);
   //! Counts an admitted request. aPrefillTokens: prompt tokens that the
   //! upstream does not have cached.
-  void Begun(WorkspaceId aWorkspace,
-             double aCost,
-             double aPrefillTokens,
-             TimePoint aNow);
+  void AddAdmitted(WorkspaceId aWorkspace,
+                   double aCost,
+                   double aPrefillTokens,
+                   TimePoint aNow);
   //! Returns the rates as of aNow and drops entries with negligible rates.
   const WorkspaceRates& Rates(TimePoint aNow);
   //! Prompt tokens per second that upstreams have to prefill for admitted
   //! requests, as of the last call of another method.
-  double Reading() const { return m_prefillRate; }
+  double PrefillDemand() const { return m_prefillRate; }
 
 private:
   void Decay(TimePoint aNow);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -23,7 +23,7 @@
   m_settings.coldLimit = aSettings.coldLimit;
   m_settings.regionOfZone = aSettings.regionOfZone;
   m_warmUp.Configure(aSettings.coldLimit);
-  m_list.Configure(aSettings.lapseAfter);
+  m_list.Configure(aSettings.entryTtl);
   m_freshness.Configure(aSettings.revocationBound);
   m_retries.Configure(
     aSettings.retryRatio, aSettings.retrySlack, aSettings.retryWindow);
@@ -42,10 +42,11 @@
     status.evacuated = upstream.evacuated;
     status.coldFor = std::max(upstream.coldUntil - aNow, Duration{});
     status.ejected = upstream.health.IsEjected(aNow);
-    status.unreadTokens = upstream.prefills.Unread(aNow) + remote.unreadTokens;
+    status.unreadTokens =
+      upstream.prefills.UnreadTokens(aNow) + remote.unreadTokens;
     status.running = upstream.running + remote.running;
-    status.readRate = upstream.prefillRate.TokensPerMs();
-    status.failurePart = upstream.health.FailurePart(aNow);
+    status.prefillRate = upstream.prefillRate.TokensPerMs();
+    status.failureRatio = upstream.health.FailureRatio(aNow);
     all.push_back(status);
   }
   return all;
@@ -68,10 +69,10 @@
 {
   m_smallestKvCache = 0;
   for (const auto& [name, service] : m_routes->Config()->services) {
-    if (service.IsEngine() && service.memoryTokens > 0) {
+    if (service.IsEngine() && service.kvCacheTokens > 0) {
       m_smallestKvCache = m_smallestKvCache > 0
-                            ? std::min(m_smallestKvCache, service.memoryTokens)
-                            : service.memoryTokens;
+                            ? std::min(m_smallestKvCache, service.kvCacheTokens)
+                            : service.kvCacheTokens;
     }
   }
 }
@@ -83,7 +84,7 @@
 }
 
 void
-Fleet::FollowUpstreams(TimePoint aNow)
+Fleet::UpdateUpstreams(TimePoint aNow)
 {
   std::erase_if(m_upstreams, [&](const auto& aEntry) {
     const auto found = m_list.Entries().find(aEntry.second.entry.id);
@@ -104,7 +105,7 @@
       //! NOTE the upstream may have become cold without work; only its next
       //! heartbeats report it, so it counts as cold until then.
       upstream.coldUntil =
-        std::max(upstream.coldUntil, aNow + m_settings.lapseAfter);
+        std::max(upstream.coldUntil, aNow + m_settings.entryTtl);
     }
     upstream.evacuated = evacuated;
   }
@@ -117,12 +118,13 @@
   for (auto& [id, upstream] : m_upstreams) {
     const auto* service = FindService(upstream.entry.service);
     upstream.isEngine = service != nullptr && service->IsEngine();
-    upstream.coldPerSecond = service != nullptr ? service->coldPerSecond : 0;
+    upstream.coldRequestsPerSecond =
+      service != nullptr ? service->coldRequestsPerSecond : 0;
   }
 }
 
 std::size_t
-Fleet::UpstreamsOfZone(const std::string& aZone) const
+Fleet::CountUpstreamsInZone(const std::string& aZone) const
 {
   return static_cast<std::size_t>(std::count_if(
     m_upstreams.begin(), m_upstreams.end(), [&](const auto& aEntry) {
@@ -145,12 +147,12 @@
   }
   aAttempt.awaitsFirstToken = false;
   if (aUpstream != nullptr) {
-    aUpstream->prefills.Done(aId);
+    aUpstream->prefills.Remove(aId);
   }
 }
 
 void
-Fleet::FirstToken(AttemptId aAttempt, TimePoint aNow)
+Fleet::RecordFirstToken(AttemptId aAttempt, TimePoint aNow)
 {
   const auto found = m_attempts.find(aAttempt);
   if (found == m_attempts.end() || !found->second.awaitsFirstToken) {
@@ -161,7 +163,7 @@
   if (upstream != nullptr && upstream->isEngine) {
     const auto elapsedMs = static_cast<double>((aNow - attempt.sentAt).count());
     upstream->prefillRate.Learn(attempt.tokensAhead, elapsedMs);
-    m_forecastError.Learn(attempt.foreseenMs, elapsedMs);
+    m_forecastError.Learn(attempt.predictedMs, elapsedMs);
   }
   EndPrefill(upstream, aAttempt, attempt);
 }
@@ -180,19 +182,19 @@
     ejected += upstream.health.IsEjected(aNow) ? 1 : 0;
   }
   return static_cast<double>(ejected) <=
-         kEjectedMost * static_cast<double>(total);
+         kMaxEjectedRatio * static_cast<double>(total);
 }
 
 void
 Fleet::CountAnswer(const Upstream& aUpstream, TimePoint aNow)
 {
   if (!aUpstream.isEngine) {
-    m_callMeter.Answered(ServiceIdOf(aUpstream.entry.service), aNow);
+    m_callMeter.AddAnswer(ServiceIdOf(aUpstream.entry.service), aNow);
   }
 }
 
 bool
-Fleet::Ended(AttemptId aAttempt, AttemptEnd aEnd, TimePoint aNow)
+Fleet::EndAttempt(AttemptId aAttempt, AttemptOutcome aEnd, TimePoint aNow)
 {
   const auto found = m_attempts.find(aAttempt);
   if (found == m_attempts.end()) {
@@ -203,15 +205,15 @@
   auto* upstream = FindUpstream(attempt.upstream);
   EndPrefill(upstream, aAttempt, attempt);
   const bool hasFingerprint = attempt.fingerprint != RequestFingerprint{};
-  if (hasFingerprint && aEnd == AttemptEnd::Answered) {
-    m_quarantine.EndedWell(attempt.fingerprint, aNow);
+  if (hasFingerprint && aEnd == AttemptOutcome::Answered) {
+    m_quarantine.RecordSuccess(attempt.fingerprint, aNow);
   }
   if (upstream == nullptr) {
     return false;
   }
   upstream->running -= std::min(upstream->running, 1U);
   switch (aEnd) {
-    case AttemptEnd::Answered: {
+    case AttemptOutcome::Answered: {
       upstream->health.Succeeded(aNow);
       const auto elapsedMs =
         static_cast<double>((aNow - attempt.sentAt).count());
@@ -221,20 +223,21 @@
       m_serviceTimes[upstream->entry.service].Learn(serviceMs);
       return false;
     }
-    case AttemptEnd::AnsweredFailure:
+    case AttemptOutcome::AnsweredFailure:
       CountAnswer(*upstream, aNow);
       upstream->health.AnsweredFailure(aNow);
       return false;
-    case AttemptEnd::Broken:
+    case AttemptOutcome::Broken:
       //! NOTE a draining upstream closes its connections without a crash.
       if (hasFingerprint && !upstream->entry.draining) {
-        m_crashChecks.Broke(attempt.upstream, attempt.fingerprint, aNow);
+        m_crashChecks.RecordBrokenConnection(
+          attempt.upstream, attempt.fingerprint, aNow);
       }
       return upstream->health.Failed(aNow, MayEject(*upstream, aNow));
-    case AttemptEnd::Refused:
-    case AttemptEnd::Unreachable:
+    case AttemptOutcome::Refused:
+    case AttemptOutcome::Unreachable:
       return upstream->health.Failed(aNow, MayEject(*upstream, aNow));
-    case AttemptEnd::CallerGone:
+    case AttemptOutcome::CallerGone:
       return false;
   }
   return false;
@@ -244,25 +247,25 @@
 Fleet::UpstreamsToCheck(TimePoint aNow)
 {
   std::vector<UpstreamToCheck> due;
-  for (const auto id : m_crashChecks.TakeDue(aNow)) {
+  for (const auto id : m_crashChecks.StartDueChecks(aNow)) {
     if (const auto* upstream = FindUpstream(id)) {
       due.push_back({ id, upstream->entry.address });
     } else {
-      m_crashChecks.Take(id); // the upstream is no longer listed
+      m_crashChecks.EndCheck(id); // the upstream is no longer listed
     }
   }
   return due;
 }
 
 CheckNotice
-Fleet::Checked(UpstreamId aUpstream,
-               quarantine::CheckResult aResult,
-               TimePoint aNow)
+Fleet::RecordCheck(UpstreamId aUpstream,
+                   quarantine::CheckResult aResult,
+                   TimePoint aNow)
 {
-  const auto broken = m_crashChecks.Take(aUpstream);
+  const auto broken = m_crashChecks.EndCheck(aUpstream);
   if (aResult == quarantine::CheckResult::Crashed) {
     for (const auto request : broken) {
-      m_quarantine.Crashed(request, aUpstream, aNow);
+      m_quarantine.RecordCrash(request, aUpstream, aNow);
     }
   }
   const auto* upstream = FindUpstream(aUpstream);
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,21 +1,20 @@
 #pragma once
 
 #include "fleet/admission.h"
-#include "fleet/calllevels.h"
 #include "fleet/callrates.h"
+#include "fleet/callthrottle.h"
 #include "fleet/evacuations.h"
 #include "fleet/fairshare.h"
 #include "fleet/fleettypes.h"
 #include "fleet/forecasterror.h"
 #include "fleet/freshness.h"
+#include "fleet/kvcacheuse.h"
 #include "fleet/membership.h"
-#include "fleet/memoryuse.h"
-#include "fleet/passlevel.h"
 #include "fleet/peerview.h"
 #include "fleet/placement.h"
+#include "fleet/prefillqueue.h"
+#include "fleet/prefillrate.h"
 #include "fleet/prefixmap.h"
-#include "fleet/readingqueue.h"
-#include "fleet/readrate.h"
 #include "fleet/retrypolicy.h"
 #include "fleet/routetable.h"
 #include "fleet/servicetime.h"
@@ -23,6 +22,7 @@
 #include "fleet/upstreamhealth.h"
 #include "fleet/upstreamlist.h"
 #include "fleet/warmup.h"
+#include "fleet/workspacethrottle.h"
 #include "quarantine/crashchecks.h"
 #include "quarantine/quarantine.h"
 #include "quarantine/requestfingerprint.h"
@@ -41,12 +41,12 @@
 {
   std::string router;
   std::string zone;
-  std::uint64_t life = 0; //!< grows with each start of this router
+  std::uint64_t incarnation = 0; //!< grows with each start of this router
   PlacementKind placement = PlacementKind::PrefixAffinity;
   //! Time within which a withdrawn key must stop working; 0: no bound.
   Duration revocationBound{};
   //! Outage of the store after which upstreams' entries in it expire.
-  Duration lapseAfter{ 2400 };
+  Duration entryTtl{ 2400 };
   //! Limits of the fleet's retries, see RetryBudget::Configure.
   double retryRatio = 0.2;
   double retrySlack = 20;
@@ -67,10 +67,11 @@
   const std::vector<std::string>* workspaceRegions = nullptr;
   std::uint64_t key = 0; //!< differs between requests; seeds random draws
   RequestFingerprint fingerprint{};
-  Duration waited{};             //!< since its arrival
-  Duration timeLeft{};           //!< until its deadline or its route's timeout
-  std::vector<UpstreamId> avoid; //!< upstreams that it was sent to already
-  bool admitted = false;         //!< admitted before; needs only an upstream
+  Duration waited{};   //!< since its arrival
+  Duration timeLeft{}; //!< until its deadline or its route's timeout
+  std::vector<UpstreamId>
+    triedUpstreams;      //!< upstreams that it was sent to already
+  bool admitted = false; //!< admitted before; needs only an upstream
   //! Time since this router's event loop was last idle.
   Duration busyFor{};
 };
@@ -103,40 +104,46 @@
   Duration retryAfter{};
   //! Best suitability over all upstreams; Fits if any upstream is eligible.
   Suitability suitability = Suitability::Unlisted;
-  double foreseenMs = 0;    //!< until the first token or the answer
+  double predictedMs = 0;   //!< until the first token or the answer
   double unreadTokens = 0;  //!< still to be prefilled there for other requests
   double missingTokens = 0; //!< of the prompt, to be prefilled there
   //! Upstream that copiedTokens of the prompt are copied from instead of being
   //! prefilled; port 0: none.
   base::Address copyFrom;
   double copiedTokens = 0;
-  std::uint32_t running = 0;   //!< requests at the upstream, of all routers
-  std::size_t crashes = 0;     //!< upstreams that crashed while they ran it
-  int rank = 0;                //!< of the upstream in the prefix's order
-  bool sameZone = false;       //!< the upstream is in this router's zone
-  bool insideShare = true;     //!< see AdmissionInput
-  bool insidePromise = true;   //!< see AdmissionInput
-  bool starved = false;        //!< see AdmissionInput
-  bool passesLevel = true;     //!< see PassLevel
-  bool passesCallLevel = true; //!< see PassingPart
-  bool routerBusy = false;     //!< refused since this router is busy
-  double excess = 0;           //!< see AdmissionInput
-  WorkspaceRate rate;          //!< of its workspace, over the fleet
-  double mostBegun = 0;        //!< greatest admitted rate of any workspace
-  //! Its workspace gets less than kFarBehind of what the best served workspace
-  //! gets, while demand is left unmet.
+  std::uint32_t running = 0;      //!< requests at the upstream, of all routers
+  std::size_t crashes = 0;        //!< upstreams that crashed while they ran it
+  int rank = 0;                   //!< of the upstream in the prefix's order
+  bool sameZone = false;          //!< the upstream is in this router's zone
+  bool insideShare = true;        //!< see AdmissionInput
+  bool insideNominalShare = true; //!< see AdmissionInput
+  bool starved = false;           //!< see AdmissionInput
+  bool passesThrottle = true;     //!< see WorkspaceThrottle
+  bool passesCallThrottle = true; //!< see AdmittedRatio
+  bool routerBusy = false;        //!< refused since this router is busy
+  double excess = 0;              //!< see AdmissionInput
+  WorkspaceRate rate;             //!< of its workspace, over the fleet
+  double maxAdmittedRate = 0;     //!< greatest admitted rate of any workspace
+  //! Its workspace gets less than kFarBehindRatio of what the best served
+  //! workspace gets, while demand is left unmet.
   bool farBehind = false;
-  Duration peersAge{}; //!< age of the oldest report that is in use
-  Duration loadAge{};  //!< mean age of the other routers' loads
+  Duration maxReportAge{}; //!< age of the oldest report that is in use
+  Duration loadAge{};      //!< mean age of the other routers' loads
 
   //! Whether it takes precedence over requests beyond their workspaces' shares.
-  bool IsOwed() const { return insideShare || (farBehind && passesLevel); }
+  bool IsEntitled() const
+  {
+    return insideShare || (farBehind && passesThrottle);
+  }
   //! Whether engines beyond those of its prefix are tried before it is refused.
-  bool IsPromised() const { return IsOwed() || insidePromise; }
+  bool IsNominallyEntitled() const
+  {
+    return IsEntitled() || insideNominalShare;
+  }
 };
 
 //! How an attempt to run a request at an upstream ended.
-enum class AttemptEnd : std::uint8_t
+enum class AttemptOutcome : std::uint8_t
 {
   Answered,
   AnsweredFailure, //!< the upstream answered that it failed
@@ -145,13 +152,13 @@
   Broken,          //!< connection reset or closed, or a malformed answer
   CallerGone       //!< the caller closed its connection
 };
-inline constexpr auto kAttemptEndNames =
-  base::MakeEnumNames<AttemptEnd>("answered",
-                                  "answered-failure",
-                                  "refused",
-                                  "unreachable",
-                                  "broken",
-                                  "caller-gone");
+inline constexpr auto kAttemptOutcomeNames =
+  base::MakeEnumNames<AttemptOutcome>("answered",
+                                      "answered-failure",
+                                      "refused",
+                                      "unreachable",
+                                      "broken",
+                                      "caller-gone");
 
 //! An upstream whose connections broke while it ran requests. A check decides
 //! whether it crashed.
@@ -196,38 +203,39 @@
   const UpstreamList& Upstreams() const { return m_list; }
   //! Updates the known upstreams. Must be called after each change of
   //! Upstreams() or Evacuated().
-  void FollowUpstreams(TimePoint aNow);
+  void UpdateUpstreams(TimePoint aNow);
   Evacuations& Evacuated() { return m_evacuations; }
   const Evacuations& Evacuated() const { return m_evacuations; }
-  std::size_t UpstreamsOfZone(const std::string& aZone) const;
+  std::size_t CountUpstreamsInZone(const std::string& aZone) const;
   Freshness& ConfigFreshness() { return m_freshness; }
   const Freshness& ConfigFreshness() const { return m_freshness; }
 
   // ---- requests
   //! Counts a request as demand. Must be called once per request.
-  void Arrived(const PlaceRequest& aRequest, TimePoint aNow);
+  void CountArrival(const PlaceRequest& aRequest, TimePoint aNow);
   //! Decides whether a request is admitted and which upstream it is sent to. If
-  //! the outcome is Placed, an attempt starts, for which Ended must be called.
+  //! the outcome is Placed, an attempt starts, for which EndAttempt must be
+  //! called.
   PlaceResult Place(const PlaceRequest& aRequest, TimePoint aNow);
   //! Records that the first token of an attempt's answer arrived.
-  void FirstToken(AttemptId aAttempt, TimePoint aNow);
+  void RecordFirstToken(AttemptId aAttempt, TimePoint aNow);
   //! Records the end of an attempt. Returns true if it ejects the upstream.
-  bool Ended(AttemptId aAttempt, AttemptEnd aEnd, TimePoint aNow);
+  bool EndAttempt(AttemptId aAttempt, AttemptOutcome aEnd, TimePoint aNow);
   RetryBudget& Retries() { return m_retries; }
   // ---- requests that crash upstreams
-  //! Upstreams to check now, whether they still listen. Checked must be called
-  //! with the result of each.
+  //! Upstreams to check now, whether they still listen. RecordCheck must be
+  //! called with the result of each.
   std::vector<UpstreamToCheck> UpstreamsToCheck(TimePoint aNow);
   //! Records the result of a check. If the upstream crashed, the crash counts
   //! for each request whose connection to it broke.
-  CheckNotice Checked(UpstreamId aUpstream,
-                      quarantine::CheckResult aResult,
-                      TimePoint aNow);
+  CheckNotice RecordCheck(UpstreamId aUpstream,
+                          quarantine::CheckResult aResult,
+                          TimePoint aNow);
   //! Crash reports for a router that has just started: all quarantined requests
   //! and some of the suspected ones.
-  quarantine::CrashNews CrashNewsForStart(TimePoint aNow)
+  quarantine::CrashUpdates CrashUpdatesForStart(TimePoint aNow)
   {
-    return m_quarantine.TellInTurn(aNow);
+    return m_quarantine.NextCrashRefresh(aNow);
   }
   const quarantine::Quarantine& Quarantined() const { return m_quarantine; }
   std::vector<quarantine::QuarantineNotice> TakeQuarantineNotices()
@@ -240,21 +248,21 @@
   void SetPlan(const ExchangePlan& aPlan);
   //! Applies a report of another router. Returns false if it is outdated; then
   //! only its crash reports and its configuration version are used.
-  bool Take(const PeerReport& aReport, TimePoint aNow);
+  bool ApplyReport(const PeerReport& aReport, TimePoint aNow);
   //! Makes this router's own report. A hub sends its sums afterwards. aBusyFor:
   //! time since this router's event loop was last idle.
-  PeerReport Tell(Duration aBusyFor, TimePoint aNow);
+  PeerReport MakeReport(Duration aBusyFor, TimePoint aNow);
   //! Makes a report with the sum of all reports of the group, the zone or the
   //! fleet. aOwn: this router's last own report.
-  PeerReport TellGroup(const PeerReport& aOwn, TimePoint aNow);
-  PeerReport TellZone(const PeerReport& aOwn, TimePoint aNow);
-  PeerReport TellFleet(const PeerReport& aOwn, TimePoint aNow);
+  PeerReport MakeGroupReport(const PeerReport& aOwn, TimePoint aNow);
+  PeerReport MakeZoneReport(const PeerReport& aOwn, TimePoint aNow);
+  PeerReport MakeFleetReport(const PeerReport& aOwn, TimePoint aNow);
   const PeerView& Peers() const { return m_peers; }
   //! Ratio of the fleet's routers that are busy. Counts this router as busy.
-  double BusyPart() const;
+  double BusyRatio() const;
 
   //! Updates limits and drops outdated state. Must be called once per
-  //! kReportPeriod.
+  //! kReportInterval.
   void Tick(TimePoint aNow);
 
   //! An upstream as this router sees it, for status pages.
@@ -268,8 +276,8 @@
     bool ejected = false;
     double unreadTokens = 0;   //!< still to be prefilled, of all routers
     std::uint32_t running = 0; //!< requests of all routers
-    double readRate = 0;       //!< prefill speed in tokens per ms
-    double failurePart = 0;    //!< of its answers, 0 to 1
+    double prefillRate = 0;    //!< prefill speed in tokens per ms
+    double failureRatio = 0;   //!< of its answers, 0 to 1
   };
   std::vector<UpstreamStatus> Status(TimePoint aNow) const;
 
@@ -279,12 +287,12 @@
     UpstreamEntry entry;
     bool isEngine = false;
     bool evacuated = false;
-    double coldPerSecond = 0; //!< see Service
+    double coldRequestsPerSecond = 0; //!< see Service
     TimePoint coldUntil{ TimePoint::min() / 2 };
-    ReadRate prefillRate;
-    UpstreamTime serviceTime;
+    PrefillRate prefillRate;
+    UpstreamServiceTime serviceTime;
     UpstreamHealth health;
-    ReadingQueue prefills;     //!< of requests from this router
+    PrefillQueue prefills;     //!< of requests from this router
     std::uint32_t running = 0; //!< requests from this router
   };
 
@@ -295,8 +303,8 @@
     //! Tokens to be prefilled at the upstream before its first token, those of
     //! its own prompt included.
     double tokensAhead = 0;
-    double foreseenMs = 0; //!< until its first token
-    double rounds = 1;     //!< see Candidate::Rounds
+    double predictedMs = 0; //!< until its first token
+    double rounds = 1;      //!< see Candidate::Rounds
     TimePoint sentAt{};
     bool awaitsFirstToken = true;
   };
@@ -377,10 +385,10 @@
   std::optional<TimePoint> m_prefixesAgedAt; //!< last AgePrefixCache
   //! Smallest KV cache of any service's engines, in tokens; 0: not configured.
   double m_smallestKvCache = 0;
-  MemoryUse m_kvCacheUse;
+  KvCacheUse m_kvCacheUse;
   DemandMeter m_demandMeter;
   CallMeter m_callMeter;
-  CallLevels m_callThrottle;
+  CallThrottle m_callThrottle;
   WorkspaceRates m_fleetRates;
   //! Max-min fair share of a workspace, in tokens per second, of the usable
   //! capacity.
@@ -390,7 +398,7 @@
   bool m_othersWait = false;    //!< see AdmissionInput
   //! Max-min fair share of all work that is being served.
   double m_servedFairShare;
-  PassLevel m_workspaceThrottle;
+  WorkspaceThrottle m_workspaceThrottle;
   ForecastError m_forecastError;
   //! Reports arrive through hubs, so they are older than direct ones.
   bool m_isLargeFleet = false;
--- a/src/fleet/fleettypes.h
+++ b/src/fleet/fleettypes.h
@@ -75,18 +75,18 @@
   std::uint32_t engineSlots = 0; //!< 0: not a model engine
   //! Size of an engine's KV cache in tokens, shared by running requests and
   //! cached prompts. 0: not configured.
-  double memoryTokens = 0;
-  double bytesPerToken = 0; //!< of the KV cache; 0: not configured
+  double kvCacheTokens = 0;
+  double kvBytesPerToken = 0; //!< of the KV cache; 0: not configured
   //! Bandwidth of the links over which engines copy cached tokens from each
   //! other, in Mbit/s; 0: no such links.
   double copyMbps = 0;
 
   //! Requests per second that a cold upstream can take from all routers
   //! together; 0: not configured.
-  double coldPerSecond = 0;
+  double coldRequestsPerSecond = 0;
 
   bool IsEngine() const { return engineSlots > 0; }
-  bool CanCopy() const { return copyMbps > 0 && bytesPerToken > 0; }
+  bool CanCopy() const { return copyMbps > 0 && kvBytesPerToken > 0; }
 };
 
 //! One version of the configuration; immutable once built.
@@ -98,7 +98,7 @@
   base::CallerLimits limits;
   //! Nominal capacity of all engines together, in tokens per second as counted
   //! by Work::Cost. 0: not configured.
-  double tokensPerSecond = 0;
+  double nominalTokensPerSecond = 0;
   bool needsKeys = false;
   std::unordered_map<std::string, std::string> workspaceOfKey;
   //! Regions in which a workspace's requests may run. A workspace without an
@@ -145,13 +145,13 @@
   //! Cost in tokens: prompt tokens count once, generated tokens twice.
   double Cost() const { return promptTokens + 2.0 * outputTokens; }
   //! Prompt tokens that no other request shares.
-  std::uint32_t OwnTokens() const
+  std::uint32_t UnsharedTokens() const
   {
     return prompt.empty() ? promptTokens : prompt.back().tokens;
   }
   //! The last prompt part that other requests share, or the only part. The
   //! request is placed by its id. Null without prompt parts.
-  const PromptPart* LastShared() const
+  const PromptPart* LastSharedPart() const
   {
     if (prompt.empty()) {
       return nullptr;
--- a/src/fleet/forecasterror.h
+++ b/src/fleet/forecasterror.h
@@ -16,17 +16,17 @@
   double Millis() const { return m_millis; }
   void Learn(double aPredictedMs, double aActualMs)
   {
-    m_millis += kForecastGain * (aActualMs - aPredictedMs - m_millis);
+    m_millis += kForecastErrorGain * (aActualMs - aPredictedMs - m_millis);
   }
 
   //! Ratio of the engines' learned prefill speed up to which requests may be
   //! admitted: it falls linearly as the error grows.
-  double ReadingUse() const
+  double OvercommitRatio() const
   {
-    const double position = (m_millis - kForecastErrorSmall) /
-                            (kForecastErrorLarge - kForecastErrorSmall);
+    const double position = (m_millis - kLowForecastErrorMs) /
+                            (kHighForecastErrorMs - kLowForecastErrorMs);
     return std::lerp(
-      kReadingUseMost, kReadingUseLeast, std::clamp(position, 0.0, 1.0));
+      kMaxOvercommitRatio, kMinOvercommitRatio, std::clamp(position, 0.0, 1.0));
   }
 
 private:
--- a/src/fleet/freshness.h
+++ b/src/fleet/freshness.h
@@ -14,7 +14,7 @@
   //! aBound: time within which a withdrawn key must stop working; 0: no bound.
   void Configure(Duration aBound) { m_bound = aBound; }
   //! Records that the configuration in force was the newest one at aAt.
-  void Proven(TimePoint aAt) { m_provenAt = std::max(m_provenAt, aAt); }
+  void RecordProof(TimePoint aAt) { m_provenAt = std::max(m_provenAt, aAt); }
 
   TimePoint ProvenAt() const { return m_provenAt; }
   //! Time since the configuration was last known to be the newest.
--- a/src/fleet/internal/admission.cpp
+++ b/src/fleet/internal/admission.cpp
@@ -11,7 +11,7 @@
 bool
 IsBeyondNominalShare(const AdmissionInput& aInput)
 {
-  return !aInput.insideShare && !aInput.insidePromise;
+  return !aInput.insideShare && !aInput.insideNominalShare;
 }
 
 //! The fraction of the target latency that the predicted latency of a request
@@ -20,20 +20,20 @@
 LatencyLimitRatio(const AdmissionInput& aInput)
 {
   if (aInput.starved) {
-    return kStarvedLimit;
+    return kStarvedTargetRatio;
   }
   if (aInput.insideShare) {
-    return kInsideShareLimit;
+    return kInsideShareTargetRatio;
   }
-  if (aInput.insidePromise) {
-    return kInsidePromiseLimit;
+  if (aInput.insideNominalShare) {
+    return kInsideNominalShareTargetRatio;
   }
   if (!aInput.othersWait) {
-    return kOutsideShareLimit;
+    return kOutsideShareTargetRatio;
   }
-  const double inverseExcess = 1.0 / std::max(aInput.excess, kExcessLeast);
-  return kOutsideShareLimit *
-         std::min(inverseExcess * inverseExcess, kBehindMost);
+  const double inverseExcess = 1.0 / std::max(aInput.excess, kMinExcess);
+  return kOutsideShareTargetRatio *
+         std::min(inverseExcess * inverseExcess, kMaxBehindFactor);
 }
 
 //! The highest predicted latency, in ms, at which a request is admitted.
@@ -45,8 +45,8 @@
 MaxLatencyMs(const AdmissionInput& aInput, double aLimitMs)
 {
   return IsBeyondNominalShare(aInput)
-           ? aLimitMs + aInput.ownMs
-           : std::max(aLimitMs, kOwnReading * aInput.ownMs);
+           ? aLimitMs + aInput.ownPrefillMs
+           : std::max(aLimitMs, kOwnPrefillFactor * aInput.ownPrefillMs);
 }
 
 //! Refuses with a retry time of the predicted latency, but at least aMinWait
@@ -55,12 +55,12 @@
 Refuse(const AdmissionInput& aInput, Duration aMinWait)
 {
   const auto timeLeftMs = static_cast<double>(aInput.timeLeft.count());
-  const auto wait = Duration(static_cast<std::int64_t>(aInput.foreseenMs));
+  const auto wait = Duration(static_cast<std::int64_t>(aInput.predictedMs));
   const auto maxWait =
-    Duration(static_cast<std::int64_t>(kRetryAfterPart * timeLeftMs));
-  return { false,
-           std::max(kRetryAfterLeast,
-                    std::min(std::max(wait, aMinWait), maxWait)) };
+    Duration(static_cast<std::int64_t>(kMaxRetryAfterRatio * timeLeftMs));
+  return {
+    false, std::max(kMinRetryAfter, std::min(std::max(wait, aMinWait), maxWait))
+  };
 }
 
 }
@@ -70,17 +70,18 @@
 {
   const auto busy = static_cast<double>(aRouterBusy.count());
   return !aInsideNominalShare &&
-         busy > kOutsideShareLimit * static_cast<double>(aTarget.count());
+         busy > kOutsideShareTargetRatio * static_cast<double>(aTarget.count());
 }
 
 Admission
 Admit(const AdmissionInput& aInput)
 {
-  if (IsBeyondNominalShare(aInput) && !aInput.passesLevel && !aInput.idle) {
-    return Refuse(aInput, kLevelWait);
+  if (IsBeyondNominalShare(aInput) && !aInput.passesThrottle &&
+      !aInput.upstreamIdle) {
+    return Refuse(aInput, kThrottleRetryAfter);
   }
-  if (!aInput.passesCallLevel && !aInput.idle) {
-    return Refuse(aInput, kRetryAfterLeast);
+  if (!aInput.passesCallThrottle && !aInput.upstreamIdle) {
+    return Refuse(aInput, kMinRetryAfter);
   }
   const double ratio = LatencyLimitRatio(aInput);
   const auto target = static_cast<double>(aInput.target.count());
@@ -88,10 +89,10 @@
   const double limit = MaxLatencyMs(aInput, ratio * target) + aInput.unseenMs;
   const bool ahead =
     IsBeyondNominalShare(aInput) && aInput.othersWait && aInput.excess > 1.0;
-  if (aInput.foreseenMs + waited <= limit || (aInput.placesFree && !ahead)) {
+  if (aInput.predictedMs + waited <= limit || (aInput.hasFreeSlots && !ahead)) {
     return {};
   }
-  return Refuse(aInput, kRetryAfterLeast);
+  return Refuse(aInput, kMinRetryAfter);
 }
 
 }
--- a/src/fleet/internal/callrates.cpp
+++ b/src/fleet/internal/callrates.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr double kTimeConstantMs = static_cast<double>(kShareMemory.count());
+constexpr double kTimeConstantMs =
+  static_cast<double>(kRateTimeConstant.count());
 constexpr double kMillisPerSecond = 1000.0;
 //! Rates below this are negligible, in calls per second.
 constexpr double kMinRate = 0.001;
@@ -26,20 +27,20 @@
   m_decayedAt = aNow;
   const double factor = std::exp(-elapsedMs / kTimeConstantMs);
   for (auto& [service, rate] : m_rates) {
-    rate.asked *= factor;
+    rate.demand *= factor;
     rate.answered *= factor;
   }
 }
 
 void
-CallMeter::Asked(ServiceId aService, TimePoint aNow)
+CallMeter::AddCall(ServiceId aService, TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aService].asked += kMillisPerSecond / kTimeConstantMs;
+  m_rates[aService].demand += kMillisPerSecond / kTimeConstantMs;
 }
 
 void
-CallMeter::Answered(ServiceId aService, TimePoint aNow)
+CallMeter::AddAnswer(ServiceId aService, TimePoint aNow)
 {
   Decay(aNow);
   m_rates[aService].answered += kMillisPerSecond / kTimeConstantMs;
@@ -50,19 +51,19 @@
 {
   Decay(aNow);
   std::erase_if(m_rates, [](const auto& aEntry) {
-    return aEntry.second.asked < kMinRate && aEntry.second.answered < kMinRate;
+    return aEntry.second.demand < kMinRate && aEntry.second.answered < kMinRate;
   });
   return m_rates;
 }
 
 double
-PassingPart(const CallRate& aRate, double aUtilisation)
+AdmittedRatio(const CallRate& aRate, double aUtilisation)
 {
-  if (aUtilisation < kCallsBusy) {
+  if (aUtilisation < kCallThrottleUtilisation) {
     return 1.0;
   }
-  const double targetRate = kCallsUse * aRate.answered;
-  const double utilisedDemand = aUtilisation * aRate.asked;
+  const double targetRate = kMaxCallUtilisation * aRate.answered;
+  const double utilisedDemand = aUtilisation * aRate.demand;
   return targetRate >= utilisedDemand ? 1.0 : targetRate / utilisedDemand;
 }
 
--- a/src/fleet/internal/calllevels.cpp
+++ b/src/fleet/internal/callthrottle.cpp
@@ -1,4 +1,4 @@
-#include "fleet/calllevels.h"
+#include "fleet/callthrottle.h"
 
 #include "fleet/fleetconstants.h"
 
@@ -10,16 +10,17 @@
 namespace {
 
 //! Weight of a new sample in the mean utilisation.
-constexpr double kUtilisationGain = static_cast<double>(kReportPeriod.count()) /
-                                    static_cast<double>(kShareMemory.count());
+constexpr double kUtilisationGain =
+  static_cast<double>(kReportInterval.count()) /
+  static_cast<double>(kRateTimeConstant.count());
 //! Makes this draw independent of other hashes of the same key.
 constexpr std::uint32_t kDrawSeed = 0x1e7e;
 
 }
 
 void
-CallLevels::Update(const std::map<ServiceId, ServicePlaces>& aPlaces,
-                   const CallRates& aRates)
+CallThrottle::Update(const std::map<ServiceId, ServiceSlots>& aPlaces,
+                     const CallRates& aRates)
 {
   std::erase_if(m_levels, [&](const auto& aEntry) {
     return !aPlaces.contains(aEntry.first);
@@ -27,16 +28,17 @@
   for (const auto& [service, places] : aPlaces) {
     auto& level = m_levels[service];
     const double sample =
-      static_cast<double>(places.taken) / std::max(places.all, 1U);
+      static_cast<double>(places.used) / std::max(places.total, 1U);
     level.utilisation += kUtilisationGain * (sample - level.utilisation);
     const auto rate = aRates.find(service);
-    level.admittedRatio =
-      rate == aRates.end() ? 1.0 : PassingPart(rate->second, level.utilisation);
+    level.admittedRatio = rate == aRates.end()
+                            ? 1.0
+                            : AdmittedRatio(rate->second, level.utilisation);
   }
 }
 
 bool
-CallLevels::Passes(ServiceId aService, std::uint64_t aKey) const
+CallThrottle::Admits(ServiceId aService, std::uint64_t aKey) const
 {
   const auto found = m_levels.find(aService);
   if (found == m_levels.end()) {
--- a/src/fleet/internal/exchangeclock.cpp
+++ b/src/fleet/internal/exchangeclock.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 //! Number of steps in a period. Each stage takes one of the first steps.
-constexpr std::int64_t kStepsPerPeriod = kReportPeriod / kExchangeStep;
+constexpr std::int64_t kStepsPerPeriod = kReportInterval / kExchangeStep;
 constexpr std::array kStages{ ExchangeStage::Own,
                               ExchangeStage::GroupSums,
                               ExchangeStage::ZoneSums,
--- a/src/fleet/internal/exchangeplan.cpp
+++ b/src/fleet/internal/exchangeplan.cpp
@@ -40,7 +40,8 @@
   }
   Groups groups;
   for (const auto& [zone, members] : zones) {
-    const auto count = (members.size() + kGroupMost - 1) / kGroupMost;
+    const auto count =
+      (members.size() + kMaxMeanGroupSize - 1) / kMaxMeanGroupSize;
     for (const auto* member : members) {
       const auto number = static_cast<std::uint32_t>(member->hash % count);
       groups[{ zone, number }].push_back(member);
@@ -86,10 +87,10 @@
   std::sort(order.begin(), order.end());
   for (std::size_t i = 0; i < order.size(); ++i) {
     if (i < kStoreReaders) {
-      aPlan.readers.push_back(order[i].member->address);
+      aPlan.storeReaders.push_back(order[i].member->address);
     }
     if (order[i].member == &aSelf) {
-      aPlan.readRank = i;
+      aPlan.storeReadRank = i;
     }
   }
 }
@@ -98,7 +99,7 @@
 HubsOf(const Members& aGroup)
 {
   std::vector<base::Address> hubs;
-  for (std::size_t i = 0; i < std::min(aGroup.size(), kHubsOfGroup); ++i) {
+  for (std::size_t i = 0; i < std::min(aGroup.size(), kHubsPerGroup); ++i) {
     hubs.push_back(aGroup[i]->address);
   }
   return hubs;
@@ -114,14 +115,14 @@
   aPlan.groupHubs = HubsOf(aMembers);
   for (std::size_t i = 0; i < aMembers.size(); ++i) {
     const auto* member = aMembers[i];
-    const bool hub = i < kHubsOfGroup;
+    const bool hub = i < kHubsPerGroup;
     if (member == &aSelf) {
       aPlan.isHub = hub;
       aPlan.hubRank = i;
       continue;
     }
     if (hub) {
-      aPlan.tell.push_back(member->address);
+      aPlan.reportTargets.push_back(member->address);
     }
     aPlan.followers.push_back(member->address);
   }
@@ -131,12 +132,12 @@
 }
 
 //! Returns the hubs of a zone: the first hub of each group, then the second
-//! ones. The first kSpeakersOfZone of them are the speakers of the zone.
+//! ones. The first kSpeakersPerZone of them are the speakers of the zone.
 std::vector<base::Address>
 HubsOfZone(const Groups& aGroups, std::uint32_t aZone)
 {
   std::vector<base::Address> hubs;
-  for (std::size_t rank = 0; rank < kHubsOfGroup; ++rank) {
+  for (std::size_t rank = 0; rank < kHubsPerGroup; ++rank) {
     for (const auto& [key, members] : aGroups) {
       if (key.zone == aZone && rank < members.size()) {
         hubs.push_back(members[rank]->address);
@@ -170,20 +171,20 @@
   auto own = HubsOfZone(aGroups, aSelf.zone);
   for (const auto& hub : own) {
     if (!(hub == aSelf.address)) {
-      aPlan.relays.push_back(hub);
+      aPlan.zoneHubs.push_back(hub);
     }
   }
-  Truncate(own, kSpeakersOfZone);
+  Truncate(own, kSpeakersPerZone);
   const auto self = std::find(own.begin(), own.end(), aSelf.address);
   if (self == own.end()) {
     return;
   }
-  aPlan.speakers = own.size();
-  aPlan.speaker = static_cast<std::uint64_t>(self - own.begin());
+  aPlan.speakerCount = own.size();
+  aPlan.speakerIndex = static_cast<std::uint64_t>(self - own.begin());
   for (const auto zone : ZonesOf(aGroups)) {
     if (zone != aSelf.zone) {
       aPlan.otherZones.push_back(HubsOfZone(aGroups, zone));
-      Truncate(aPlan.otherZones.back(), kSpeakersOfZone);
+      Truncate(aPlan.otherZones.back(), kSpeakersPerZone);
     }
   }
 }
@@ -205,18 +206,19 @@
       continue;
     }
     const auto hubs = HubsOf(members);
-    aPlan.hubs.insert(aPlan.hubs.end(), hubs.begin(), hubs.end());
+    aPlan.otherGroupHubs.insert(
+      aPlan.otherGroupHubs.end(), hubs.begin(), hubs.end());
   }
 }
 
 }
 
 std::vector<base::Address>
-ExchangePlan::ZoneContacts(std::uint64_t aSequence) const
+ExchangePlan::ZoneSumTargets(std::uint64_t aSequence) const
 {
   std::vector<base::Address> receivers;
   for (const auto& hubs : otherZones) {
-    receivers.push_back(hubs[(aSequence / speakers) % hubs.size()]);
+    receivers.push_back(hubs[(aSequence / speakerCount) % hubs.size()]);
   }
   return receivers;
 }
@@ -232,13 +234,13 @@
   }
   const auto groups = MakeGroups(all);
   PlanStoreReaders(plan, groups, aSelf);
-  if (all.size() > kMeshMost) {
+  if (all.size() > kMaxMeshRouters) {
     PlanZoneGroups(plan, groups, aSelf);
     PlanZoneExchange(plan, groups, aSelf);
     return plan;
   }
   for (const auto& member : aOthers) {
-    plan.tell.push_back(member.address);
+    plan.reportTargets.push_back(member.address);
   }
   return plan;
 }
--- a/src/fleet/internal/fairshare.cpp
+++ b/src/fleet/internal/fairshare.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr double kTimeConstantMs = static_cast<double>(kShareMemory.count());
+constexpr double kTimeConstantMs =
+  static_cast<double>(kRateTimeConstant.count());
 constexpr double kMillisPerSecond = 1000.0;
 //! Rates below this are negligible, in tokens per second.
 constexpr double kMinRate = 1.0;
@@ -19,12 +20,12 @@
 }
 
 double
-MaxMinLevel(const WorkspaceRates& aRates, double aCapacity)
+MaxMinShare(const WorkspaceRates& aRates, double aCapacity)
 {
   std::vector<double> demands;
   demands.reserve(aRates.size());
   for (const auto& [workspace, rate] : aRates) {
-    demands.push_back(rate.asked);
+    demands.push_back(rate.demand);
   }
   std::sort(demands.begin(), demands.end());
   double remaining = aCapacity;
@@ -49,26 +50,26 @@
   const double factor = std::exp(-elapsedMs / kTimeConstantMs);
   m_prefillRate *= factor;
   for (auto& [workspace, rate] : m_rates) {
-    rate.asked *= factor;
-    rate.begun *= factor;
+    rate.demand *= factor;
+    rate.admitted *= factor;
   }
 }
 
 void
-DemandMeter::Asked(WorkspaceId aWorkspace, double aCost, TimePoint aNow)
+DemandMeter::AddDemand(WorkspaceId aWorkspace, double aCost, TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aWorkspace].asked += aCost * kMillisPerSecond / kTimeConstantMs;
+  m_rates[aWorkspace].demand += aCost * kMillisPerSecond / kTimeConstantMs;
 }
 
 void
-DemandMeter::Begun(WorkspaceId aWorkspace,
-                   double aCost,
-                   double aPrefillTokens,
-                   TimePoint aNow)
+DemandMeter::AddAdmitted(WorkspaceId aWorkspace,
+                         double aCost,
+                         double aPrefillTokens,
+                         TimePoint aNow)
 {
   Decay(aNow);
-  m_rates[aWorkspace].begun += aCost * kMillisPerSecond / kTimeConstantMs;
+  m_rates[aWorkspace].admitted += aCost * kMillisPerSecond / kTimeConstantMs;
   m_prefillRate += aPrefillTokens * kMillisPerSecond / kTimeConstantMs;
 }
 
@@ -77,7 +78,7 @@
 {
   Decay(aNow);
   std::erase_if(m_rates, [](const auto& aEntry) {
-    return aEntry.second.asked < kMinRate && aEntry.second.begun < kMinRate;
+    return aEntry.second.demand < kMinRate && aEntry.second.admitted < kMinRate;
   });
   return m_rates;
 }
--- a/src/fleet/internal/fleetlevels.cpp
+++ b/src/fleet/internal/fleetlimits.cpp
@@ -31,12 +31,12 @@
     }
   }
   if (engines > 0) {
-    const double newTokens = (m_demandMeter.Reading() + m_peers.Reading()) *
-                             m_kvCacheUse.FilledPerRead() *
-                             static_cast<double>(elapsed.count()) /
-                             kMillisPerSecond;
-    m_prefixes.Advance(newTokens / engines);
-    m_prefixes.SetKept(PromptCacheTokens(running / engines));
+    const double newTokens =
+      (m_demandMeter.PrefillDemand() + m_peers.PrefillDemand()) *
+      m_kvCacheUse.FilledPerPrefillToken() *
+      static_cast<double>(elapsed.count()) / kMillisPerSecond;
+    m_prefixes.AddEnteredTokens(newTokens / engines);
+    m_prefixes.SetRetainedTokens(PromptCacheTokens(running / engines));
   }
   m_prefixes.Forget();
 }
@@ -48,7 +48,7 @@
 Fleet::FitsKvCache(const Work& aWork) const
 {
   const double limit =
-    m_smallestKvCache > 0 ? m_smallestKvCache : kPrefixKeptUnsaid;
+    m_smallestKvCache > 0 ? m_smallestKvCache : kDefaultPromptCacheTokens;
   return static_cast<double>(aWork.promptTokens) + aWork.outputTokens <= limit;
 }
 
@@ -58,10 +58,11 @@
 Fleet::PromptCacheTokens(double aRunning) const
 {
   if (m_smallestKvCache <= 0) {
-    return kPrefixKeptUnsaid;
+    return kDefaultPromptCacheTokens;
   }
-  return std::max(m_smallestKvCache - aRunning * m_kvCacheUse.TokensOfRunning(),
-                  kPromptsKeptLeast * m_smallestKvCache);
+  return std::max(m_smallestKvCache -
+                    aRunning * m_kvCacheUse.MeanRunningTokens(),
+                  kMinPromptCacheRatio * m_smallestKvCache);
 }
 
 void
@@ -70,12 +71,12 @@
   m_peers.Forget(aNow);
   m_quarantine.Tick(aNow);
   AgePrefixCache(aNow);
-  m_retries.SetRouters(m_peers.Routers() + 1);
+  m_retries.SetRouters(m_peers.RouterCount() + 1);
   m_fleetRates = m_demandMeter.Rates(aNow);
   for (const auto& [workspace, rate] : m_peers.Rates()) {
     auto& sum = m_fleetRates[workspace];
-    sum.asked += rate.asked;
-    sum.begun += rate.begun;
+    sum.demand += rate.demand;
+    sum.admitted += rate.admitted;
   }
   m_warmUp.Forget(aNow);
   UpdateFairShares(aNow);
@@ -86,20 +87,20 @@
 void
 Fleet::UpdateCallThrottle(TimePoint aNow)
 {
-  std::map<ServiceId, ServicePlaces> services;
+  std::map<ServiceId, ServiceSlots> services;
   for (const auto& [id, upstream] : m_upstreams) {
     if (upstream.isEngine || !AcceptsWork(upstream, aNow)) {
       continue;
     }
     const auto running = upstream.running + m_peers.LoadOf(id).running;
     auto& places = services[ServiceIdOf(upstream.entry.service)];
-    places.taken += std::min(running, upstream.entry.slots);
-    places.all += upstream.entry.slots;
+    places.used += std::min(running, upstream.entry.slots);
+    places.total += upstream.entry.slots;
   }
   auto rates = m_callMeter.Rates(aNow);
   for (const auto& [service, rate] : m_peers.Calls()) {
     auto& sum = rates[service];
-    sum.asked += rate.asked;
+    sum.demand += rate.demand;
     sum.answered += rate.answered;
   }
   m_callThrottle.Update(services, rates);
@@ -130,7 +131,8 @@
   m_nominalFairShare = std::numeric_limits<double>::infinity();
   m_servedFairShare = std::numeric_limits<double>::infinity();
   m_maxAdmittedRate = 0;
-  const double nominal = m_routes ? m_routes->Config()->tokensPerSecond : 0.0;
+  const double nominal =
+    m_routes ? m_routes->Config()->nominalTokensPerSecond : 0.0;
   if (nominal <= 0) {
     m_othersWait = false;
     m_workspaceThrottle.Update({}, nominal);
@@ -138,22 +140,22 @@
   }
   double admitted = 0;
   for (const auto& [workspace, rate] : m_fleetRates) {
-    admitted += rate.begun;
-    m_maxAdmittedRate = std::max(m_maxAdmittedRate, rate.begun);
+    admitted += rate.admitted;
+    m_maxAdmittedRate = std::max(m_maxAdmittedRate, rate.admitted);
   }
   const double capacity = AdmissionCapacity(admitted, aNow);
   const double usable = std::min(nominal, std::max(admitted, capacity));
-  m_nominalFairShare = MaxMinLevel(m_fleetRates, nominal);
-  m_fairShare = MaxMinLevel(m_fleetRates, usable);
-  m_servedFairShare = MaxMinLevel(m_fleetRates, std::max(usable, admitted));
+  m_nominalFairShare = MaxMinShare(m_fleetRates, nominal);
+  m_fairShare = MaxMinShare(m_fleetRates, usable);
+  m_servedFairShare = MaxMinShare(m_fleetRates, std::max(usable, admitted));
   double unmet = 0;
   for (const auto& [workspace, rate] : m_fleetRates) {
-    if (rate.begun < m_servedFairShare) {
+    if (rate.admitted < m_servedFairShare) {
       unmet +=
-        std::max(0.0, std::min(rate.asked, m_servedFairShare) - rate.begun);
+        std::max(0.0, std::min(rate.demand, m_servedFairShare) - rate.admitted);
     }
   }
-  m_othersWait = unmet > kMissedNoticed * admitted;
+  m_othersWait = unmet > kMinUnmetDemandRatio * admitted;
   m_workspaceThrottle.Update(m_fleetRates,
                              m_isLargeFleet
                                ? std::max(nominal, capacity)
@@ -166,10 +168,11 @@
 double
 Fleet::AdmissionCapacity(double aAdmittedRate, TimePoint aNow) const
 {
-  const double prefillDemand = m_demandMeter.Reading() + m_peers.Reading();
+  const double prefillDemand =
+    m_demandMeter.PrefillDemand() + m_peers.PrefillDemand();
   const double admittedPerPrefill =
     prefillDemand > 0 ? std::max(aAdmittedRate / prefillDemand, 1.0) : 1.0;
-  return m_forecastError.ReadingUse() * PrefillCapacity(aNow) *
+  return m_forecastError.OvercommitRatio() * PrefillCapacity(aNow) *
          admittedPerPrefill;
 }
 
--- a/src/fleet/internal/fleetplacing.cpp
+++ b/src/fleet/internal/fleetplacement.cpp
@@ -16,13 +16,13 @@
 }
 
 void
-Fleet::Arrived(const PlaceRequest& aRequest, TimePoint aNow)
+Fleet::CountArrival(const PlaceRequest& aRequest, TimePoint aNow)
 {
   m_retries.CountRequest(aRequest.service, aNow);
   if (aRequest.work->IsGeneration()) {
-    m_demandMeter.Asked(aRequest.workspace, aRequest.work->Cost(), aNow);
+    m_demandMeter.AddDemand(aRequest.workspace, aRequest.work->Cost(), aNow);
   } else {
-    m_callMeter.Asked(ServiceIdOf(aRequest.service), aNow);
+    m_callMeter.AddCall(ServiceIdOf(aRequest.service), aNow);
   }
 }
 
@@ -41,13 +41,14 @@
 {
   const auto rate = RateOf(aWorkspace);
   return m_othersWait &&
-         rate.begun < kStarved * std::min(rate.asked, m_maxAdmittedRate);
+         rate.admitted <
+           kStarvedRatio * std::min(rate.demand, m_maxAdmittedRate);
 }
 
 bool
 Fleet::IsCold(const Upstream& aUpstream, TimePoint aNow) const
 {
-  return aUpstream.coldPerSecond > 0 && aNow < aUpstream.coldUntil;
+  return aUpstream.coldRequestsPerSecond > 0 && aNow < aUpstream.coldUntil;
 }
 
 bool
@@ -70,18 +71,20 @@
   if (entry.draining) {
     return Suitability::Draining;
   }
-  if (!MayRunIn(m_settings.regionOfZone, entry.zone, aRequest)) {
+  if (!IsRegionAllowed(m_settings.regionOfZone, entry.zone, aRequest)) {
     return Suitability::OtherRegion;
   }
   if (aUpstream.evacuated) {
     return Suitability::Evacuated;
   }
-  if (std::find(aRequest.avoid.begin(), aRequest.avoid.end(), aId) !=
-      aRequest.avoid.end()) {
+  if (std::find(aRequest.triedUpstreams.begin(),
+                aRequest.triedUpstreams.end(),
+                aId) != aRequest.triedUpstreams.end()) {
     return Suitability::Tried;
   }
-  const bool isBlocked = IsCold(aUpstream, aNow) &&
-                         !m_warmUp.MaySend(aId, aUpstream.coldPerSecond, aNow);
+  const bool isBlocked =
+    IsCold(aUpstream, aNow) &&
+    !m_warmUp.MaySend(aId, aUpstream.coldRequestsPerSecond, aNow);
   return isBlocked ? Suitability::Cold : Suitability::Fits;
 }
 
@@ -146,11 +149,11 @@
       const auto found = m_upstreams.find(id);
       const bool isUsable =
         found != m_upstreams.end() &&
-        IsWorkable(SuitabilityOf(aRequest, id, found->second, aNow)) &&
+        CanProvideCopies(SuitabilityOf(aRequest, id, found->second, aNow)) &&
         !found->second.health.IsEjected(aNow);
       if (isUsable) {
         holders.push_back({ id,
-                            m_prefixes.Held(*aRequest.work, id),
+                            m_prefixes.HeldTokens(*aRequest.work, id),
                             found->second.entry.zone });
       }
     }
@@ -173,23 +176,24 @@
   Candidate candidate;
   candidate.upstream = aUpstream;
   candidate.isEngine = upstream.isEngine;
-  candidate.unreadTokens = upstream.prefills.Unread(aNow) + remote.unreadTokens;
-  const auto cachedTokens = m_prefixes.Held(*aRequest.work, aUpstream);
+  candidate.unreadTokens =
+    upstream.prefills.UnreadTokens(aNow) + remote.unreadTokens;
+  const auto cachedTokens = m_prefixes.HeldTokens(*aRequest.work, aUpstream);
   candidate.missingTokens =
     static_cast<double>(aRequest.work->promptTokens) - cachedTokens;
-  candidate.readRate = upstream.prefillRate.TokensPerMs();
+  candidate.prefillRate = upstream.prefillRate.TokensPerMs();
   if (!aHolders.empty()) {
-    candidate.copy =
-      ChooseCopy(*FindService(aRequest.service),
-                 aHolders,
-                 { aUpstream, entry.zone, cachedTokens, candidate.readRate },
-                 aRequest.key);
+    candidate.copy = ChooseCopySource(
+      *FindService(aRequest.service),
+      aHolders,
+      { aUpstream, entry.zone, cachedTokens, candidate.prefillRate },
+      aRequest.key);
   }
   candidate.missingTokens -= candidate.copy ? candidate.copy->tokens : 0.0;
   candidate.running = upstream.running + remote.running;
   candidate.slots = std::max(entry.slots, 1U);
-  candidate.serviceMs = upstream.serviceTime.Millis(meanTime);
-  candidate.failurePart = upstream.health.FailurePart(aNow);
+  candidate.serviceMs = upstream.serviceTime.MeanMs(meanTime);
+  candidate.failureRatio = upstream.health.FailureRatio(aNow);
   candidate.sameZone = entry.zone == m_settings.zone;
   return candidate;
 }
@@ -208,7 +212,7 @@
   const bool isEngine =
     !aEligible.empty() && m_upstreams.at(aEligible.front()).isEngine;
   if (isEngine) {
-    KeepNearest(aEligible, aKey, ReachOf(aPolicy));
+    KeepTopRanked(aEligible, aKey, MaxCandidates(aPolicy));
   }
   std::vector<Candidate> candidates;
   candidates.reserve(aEligible.size());
@@ -237,9 +241,9 @@
     usedSlots += std::min(candidate.running, candidate.slots);
     slots += candidate.slots;
   }
-  const auto age = static_cast<double>(m_peers.NewsAge(aNow).count());
+  const auto age = static_cast<double>(m_peers.MeanLoadAge(aNow).count());
   const auto key = static_cast<std::uint32_t>(aRequest.key);
-  return { kUnseenTimes * age * usedSlots / slots,
+  return { kUnseenLoadFactor * age * usedSlots / slots,
            base::HashPair(key, kDrawSeed) };
 }
 
@@ -250,24 +254,24 @@
                        const PlaceResult& aResult) const
 {
   AdmissionInput input;
-  input.foreseenMs = aCandidate.ForeseenMs();
-  input.ownMs = aCandidate.isEngine
-                  ? aRequest.work->OwnTokens() / aCandidate.readRate
-                  : 0.0;
+  input.predictedMs = aCandidate.PredictedMs();
+  input.ownPrefillMs = aCandidate.isEngine ? aRequest.work->UnsharedTokens() /
+                                               aCandidate.prefillRate
+                                           : 0.0;
   input.unseenMs = aUnseen.ms;
   input.waited = aRequest.waited;
   input.target = aRequest.route->target;
   input.timeLeft = aRequest.timeLeft;
-  input.insideShare = aResult.IsOwed();
-  input.insidePromise = aResult.insidePromise;
+  input.insideShare = aResult.IsEntitled();
+  input.insideNominalShare = aResult.insideNominalShare;
   input.starved = aResult.starved;
-  input.passesLevel = aResult.passesLevel;
-  input.passesCallLevel = aResult.passesCallLevel;
+  input.passesThrottle = aResult.passesThrottle;
+  input.passesCallThrottle = aResult.passesCallThrottle;
   input.excess = aResult.excess;
   input.othersWait = m_othersWait;
-  input.placesFree =
+  input.hasFreeSlots =
     aCandidate.unreadTokens <= 0 && aCandidate.running < aCandidate.slots;
-  input.idle = aCandidate.running == 0;
+  input.upstreamIdle = aCandidate.running == 0;
   return Admit(input);
 }
 
@@ -279,22 +283,23 @@
   PlaceResult result;
   const bool isGeneration = aRequest.work->IsGeneration();
   result.rate = RateOf(aRequest.workspace);
-  result.mostBegun = m_maxAdmittedRate;
-  const double admittedRate = result.rate.begun;
+  result.maxAdmittedRate = m_maxAdmittedRate;
+  const double admittedRate = result.rate.admitted;
   result.insideShare = admittedRate < m_fairShare;
-  result.insidePromise =
+  result.insideNominalShare =
     result.insideShare || (isGeneration && admittedRate < m_nominalFairShare);
   result.excess = admittedRate / m_servedFairShare;
   result.farBehind =
-    m_othersWait && admittedRate < kFarBehind * m_maxAdmittedRate;
+    m_othersWait && admittedRate < kFarBehindRatio * m_maxAdmittedRate;
   result.starved = isGeneration && IsStarved(aRequest.workspace);
-  result.passesLevel = !isGeneration || aRequest.admitted || result.starved ||
-                       m_workspaceThrottle.Pass(aRequest.workspace);
-  result.passesCallLevel =
+  result.passesThrottle = !isGeneration || aRequest.admitted ||
+                          result.starved ||
+                          m_workspaceThrottle.TryAdmit(aRequest.workspace);
+  result.passesCallThrottle =
     isGeneration || aRequest.admitted ||
-    m_callThrottle.Passes(ServiceIdOf(aRequest.service), aRequest.key);
-  result.peersAge = m_peers.Age(aNow);
-  result.loadAge = m_peers.NewsAge(aNow);
+    m_callThrottle.Admits(ServiceIdOf(aRequest.service), aRequest.key);
+  result.maxReportAge = m_peers.OldestReportAge(aNow);
+  result.loadAge = m_peers.MeanLoadAge(aNow);
   return result;
 }
 
@@ -309,9 +314,9 @@
   if (request == RequestFingerprint{}) {
     return false;
   }
-  const auto unchecked = m_crashChecks.Waiting(request);
-  aResult.crashes = m_quarantine.Crashes(request) + unchecked;
-  const auto remaining = m_quarantine.HeldFor(request, unchecked, aNow);
+  const auto unchecked = m_crashChecks.PendingChecks(request);
+  aResult.crashes = m_quarantine.CrashCount(request) + unchecked;
+  const auto remaining = m_quarantine.RefusedFor(request, unchecked, aNow);
   if (remaining) {
     aResult.outcome = PlaceOutcome::Quarantined;
     aResult.retryAfter = *remaining;
@@ -327,21 +332,21 @@
     return result;
   }
   const bool isShed = aRequest.work->IsGeneration() && !aRequest.admitted &&
-                      ShedsWhileBusy(result.IsPromised(),
+                      ShedsWhileBusy(result.IsNominallyEntitled(),
                                      aRequest.busyFor,
                                      aRequest.route->target);
   if (isShed) {
     result.outcome = PlaceOutcome::Refused;
     result.routerBusy = true;
-    result.retryAfter = kRetryAfterLeast;
+    result.retryAfter = kMinRetryAfter;
     return result;
   }
-  const auto* shared = aRequest.work->LastShared();
+  const auto* shared = aRequest.work->LastSharedPart();
   //! NOTE a request that ran at an upstream that crashed is placed apart from
   //! its prefix: otherwise it would follow the request that caused the crash to
   //! the next upstream.
   const bool isIsolated = result.crashes > 0;
-  const auto policy = isIsolated ? Spread() : m_policy;
+  const auto policy = isIsolated ? OverflowPolicy() : m_policy;
   const auto key = shared != nullptr && !isIsolated ? shared->id : aRequest.key;
   const auto eligible = EligibleUpstreams(aRequest, result, aNow);
   const auto holders = FindPrefixHolders(aRequest, aNow);
@@ -351,23 +356,24 @@
   auto placed = fleet::Place(policy, candidates, key, unseen);
   if (!placed) {
     result.retryAfter =
-      RetryAfterFor(result.suitability, TimeUntilWarm(aRequest, aNow));
+      NoUpstreamRetryAfter(result.suitability, TimeUntilWarm(aRequest, aNow));
     return result;
   }
   auto admission =
     DecideAdmission(aRequest, candidates[placed->candidate], unseen, result);
-  if (!admission.taken && !aRequest.admitted && result.IsPromised()) {
+  if (!admission.admitted && !aRequest.admitted &&
+      result.IsNominallyEntitled()) {
     //! NOTE the engines of the request's prefix are full. It may still be in
     //! time at an engine that has to prefill the whole prompt. Without an
     //! entitlement that prefill would be a waste.
-    candidates =
-      MakeCandidates(aRequest, eligible, holders, Spread(), aRequest.key, aNow);
-    placed = fleet::Place(Spread(), candidates, aRequest.key, unseen);
+    candidates = MakeCandidates(
+      aRequest, eligible, holders, OverflowPolicy(), aRequest.key, aNow);
+    placed = fleet::Place(OverflowPolicy(), candidates, aRequest.key, unseen);
     admission =
       DecideAdmission(aRequest, candidates[placed->candidate], unseen, result);
   }
   const auto& candidate = candidates[placed->candidate];
-  result.foreseenMs = placed->foreseenMs;
+  result.predictedMs = placed->predictedMs;
   result.rank = placed->rank;
   result.unreadTokens = candidate.unreadTokens;
   result.missingTokens = candidate.missingTokens;
@@ -376,7 +382,7 @@
     result.copyFrom = m_upstreams.at(candidate.copy->from).entry.address;
     result.copiedTokens = candidate.copy->tokens;
   }
-  if (!admission.taken && !aRequest.admitted) {
+  if (!admission.admitted && !aRequest.admitted) {
     result.outcome = PlaceOutcome::Refused;
     result.retryAfter = admission.retryAfter;
     return result;
@@ -406,31 +412,32 @@
   attempt.fingerprint = aRequest.fingerprint;
   const double prefillTokens = std::max(aCandidate.missingTokens, 0.0);
   attempt.tokensAhead = aCandidate.unreadTokens + aCandidate.missingTokens;
-  attempt.foreseenMs = aCandidate.ForeseenMs();
+  attempt.predictedMs = aCandidate.PredictedMs();
   attempt.rounds = aCandidate.Rounds();
   attempt.sentAt = aNow;
   upstream.running++;
   if (IsCold(upstream, aNow)) {
-    m_warmUp.Sent(aUpstream, aNow);
+    m_warmUp.RecordRequest(aUpstream, aNow);
   }
   const auto id = m_nextAttempt++;
-  const double queueMs = aCandidate.unreadTokens / aCandidate.readRate;
-  upstream.prefills.Sent(
-    id, prefillTokens, queueMs, prefillTokens / aCandidate.readRate, aNow);
+  const double queueMs = aCandidate.unreadTokens / aCandidate.prefillRate;
+  upstream.prefills.Add(
+    id, prefillTokens, queueMs, prefillTokens / aCandidate.prefillRate, aNow);
   for (std::size_t i = 0; i + 1 < work.prompt.size(); ++i) {
-    m_prefixes.Used(work.prompt[i].id, aUpstream);
+    m_prefixes.RecordUse(work.prompt[i].id, aUpstream);
     if (m_ownUses.size() < kMaxReportedUses) {
       m_ownUses.push_back({ work.prompt[i].id, aUpstream });
     }
   }
   if (work.IsGeneration() && FitsKvCache(work)) {
-    m_kvCacheUse.Begun(
+    m_kvCacheUse.RecordRequest(
       work, prefillTokens, aCandidate.copy ? aCandidate.copy->tokens : 0.0);
   }
   if (work.IsGeneration() && !aRequest.admitted) {
-    m_demandMeter.Begun(aRequest.workspace, work.Cost(), prefillTokens, aNow);
-    m_fleetRates[aRequest.workspace].begun +=
-      work.Cost() * 1000.0 / static_cast<double>(kShareMemory.count());
+    m_demandMeter.AddAdmitted(
+      aRequest.workspace, work.Cost(), prefillTokens, aNow);
+    m_fleetRates[aRequest.workspace].admitted +=
+      work.Cost() * 1000.0 / static_cast<double>(kRateTimeConstant.count());
   }
   m_attempts.emplace(id, attempt);
   return id;
--- a/src/fleet/internal/fleetreports.cpp
+++ b/src/fleet/internal/fleetreports.cpp
@@ -35,16 +35,16 @@
 }
 
 bool
-Fleet::Take(const PeerReport& aReport, TimePoint aNow)
+Fleet::ApplyReport(const PeerReport& aReport, TimePoint aNow)
 {
-  m_quarantine.Take(aReport.crashNews, aNow);
+  m_quarantine.Take(aReport.crashUpdates, aNow);
   m_newestReportedConfig =
     std::max(m_newestReportedConfig, aReport.configVersion);
   if (!m_peers.Take(aReport, aNow)) {
     return false;
   }
-  for (const auto& use : aReport.uses) {
-    m_prefixes.Used(use.part, use.upstream);
+  for (const auto& use : aReport.prefixUses) {
+    m_prefixes.RecordUse(use.part, use.upstream);
   }
   if (m_isSummingHub) {
     CollectUses(aReport);
@@ -61,13 +61,13 @@
   const bool isOfGroup = aReport.scope == ReportScope::Router;
   const bool isOfZone = isOfGroup || aReport.scope == ReportScope::Group;
   if (isOfGroup) {
-    Append(m_groupUses, aReport.uses);
+    Append(m_groupUses, aReport.prefixUses);
   }
   if (isOfZone && m_isZoneSpeaker) {
-    Append(m_zoneUses, aReport.uses);
+    Append(m_zoneUses, aReport.prefixUses);
   }
   if (aReport.scope != ReportScope::Fleet) {
-    Append(m_fleetUses, aReport.uses);
+    Append(m_fleetUses, aReport.prefixUses);
   }
 }
 
@@ -76,7 +76,7 @@
 {
   m_group = aPlan.group;
   m_warmUp.SetRouters(aPlan.routers);
-  m_isSummingHub = aPlan.SumsUp();
+  m_isSummingHub = aPlan.AggregatesReports();
   m_isLargeFleet = aPlan.IsLarge();
   if (!m_isSummingHub) {
     m_groupUses.clear();
@@ -104,18 +104,18 @@
   const auto self = base::RouterId(base::HashName(m_settings.router));
   for (const auto& heard : aReport.heard) {
     if (heard.router == self) {
-      m_freshness.Proven(heard.sentAt - aReport.configAge);
+      m_freshness.RecordProof(heard.sentAt - aReport.configAge);
     }
   }
 }
 
 PeerReport
-Fleet::Tell(Duration aBusyFor, TimePoint aNow)
+Fleet::MakeReport(Duration aBusyFor, TimePoint aNow)
 {
   PeerReport report;
-  report.busy = aBusyFor > kBusyAfter ? 1 : 0;
+  report.busyRouters = aBusyFor > kBusyThreshold ? 1 : 0;
   report.router = m_settings.router;
-  report.life = m_settings.life;
+  report.incarnation = m_settings.incarnation;
   report.sequence = ++m_reportSequence;
   report.sentAt = aNow;
   report.group = m_group;
@@ -124,7 +124,7 @@
   report.configAge = m_freshness.Age(aNow);
   for (const auto& [id, upstream] : m_upstreams) {
     if (upstream.running > 0) {
-      const auto unread = upstream.prefills.Unread(aNow);
+      const auto unread = upstream.prefills.UnreadTokens(aNow);
       report.loads.push_back(
         { id, static_cast<std::uint32_t>(unread), upstream.running });
     }
@@ -135,24 +135,24 @@
   for (const auto& [service, rate] : m_callMeter.Rates(aNow)) {
     report.calls.push_back({ service, rate });
   }
-  report.reading = m_demandMeter.Reading();
-  report.crashNews = report.sequence % kQuarantineEvery == 0
-                       ? m_quarantine.TellInTurn(aNow)
-                       : m_quarantine.TellNews(aNow);
-  report.uses = std::move(m_ownUses);
+  report.prefillDemand = m_demandMeter.PrefillDemand();
+  report.crashUpdates = report.sequence % kReportsPerQuarantineList == 0
+                          ? m_quarantine.NextCrashRefresh(aNow)
+                          : m_quarantine.TakeUnreportedCrashes(aNow);
+  report.prefixUses = std::move(m_ownUses);
   m_ownUses.clear();
   if (m_isSummingHub) {
     CollectUses(report);
   }
-  m_peers.Sent(report);
+  m_peers.RecordSent(report);
   return report;
 }
 
 double
-Fleet::BusyPart() const
+Fleet::BusyRatio() const
 {
-  return static_cast<double>(m_peers.Busy() + 1) /
-         static_cast<double>(m_peers.Routers() + 1);
+  return static_cast<double>(m_peers.BusyRouters() + 1) /
+         static_cast<double>(m_peers.RouterCount() + 1);
 }
 
 //! Returns aOwn with ages as of aNow: receivers compute with the ages on their
@@ -168,29 +168,29 @@
 }
 
 PeerReport
-Fleet::TellGroup(const PeerReport& aOwn, TimePoint aNow)
+Fleet::MakeGroupReport(const PeerReport& aOwn, TimePoint aNow)
 {
   auto sum = m_peers.GroupSum(WithCurrentAges(aOwn, aNow), aNow);
-  sum.uses = std::move(m_groupUses);
+  sum.prefixUses = std::move(m_groupUses);
   m_groupUses.clear();
   return sum;
 }
 
 PeerReport
-Fleet::TellZone(const PeerReport& aOwn, TimePoint aNow)
+Fleet::MakeZoneReport(const PeerReport& aOwn, TimePoint aNow)
 {
   auto sum = m_peers.ZoneSum(WithCurrentAges(aOwn, aNow), aNow);
-  sum.uses = std::move(m_zoneUses);
+  sum.prefixUses = std::move(m_zoneUses);
   m_zoneUses.clear();
-  Deduplicate(sum.uses);
+  Deduplicate(sum.prefixUses);
   return sum;
 }
 
 PeerReport
-Fleet::TellFleet(const PeerReport& aOwn, TimePoint aNow)
+Fleet::MakeFleetReport(const PeerReport& aOwn, TimePoint aNow)
 {
   auto sum = m_peers.FleetSum(WithCurrentAges(aOwn, aNow), aNow);
-  sum.uses = std::move(m_fleetUses);
+  sum.prefixUses = std::move(m_fleetUses);
   m_fleetUses.clear();
   return sum;
 }
--- a/src/fleet/internal/loadspread.cpp
+++ b/src/fleet/internal/loadspread.cpp
@@ -16,7 +16,7 @@
   double totalSpeed = 0;
   for (const auto& option : aOptions) {
     order.push_back(&option);
-    totalSpeed += option.speed;
+    totalSpeed += option.throughput;
   }
   std::sort(
     order.begin(), order.end(), [](const auto* aFirst, const auto* aOther) {
@@ -33,7 +33,7 @@
     }
     filled += workToNext;
     level = option->costMs;
-    speed += option->speed;
+    speed += option->throughput;
   }
   return speed > 0 ? level + (work - filled) / speed : level;
 }
@@ -41,14 +41,14 @@
 }
 
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
+SpreadWeights(const std::vector<SpreadOption>& aOptions, double aUnseenMs)
 {
   const double level = WaterFillLevel(aOptions, aUnseenMs);
   std::vector<double> weights;
   weights.reserve(aOptions.size());
   double sum = 0;
   for (const auto& option : aOptions) {
-    weights.push_back(option.speed * std::max(0.0, level - option.costMs));
+    weights.push_back(option.throughput * std::max(0.0, level - option.costMs));
     sum += weights.back();
   }
   if (sum <= 0) {
@@ -69,7 +69,7 @@
 }
 
 std::size_t
-DrawByParts(const std::vector<double>& aWeights, std::uint64_t aDraw)
+PickByWeight(const std::vector<double>& aWeights, std::uint64_t aDraw)
 {
   constexpr auto kMaxDraw =
     static_cast<double>(std::numeric_limits<std::uint64_t>::max());
--- a/src/fleet/internal/loadsum.cpp
+++ b/src/fleet/internal/loadsum.cpp
@@ -7,7 +7,7 @@
 void
 LoadSum::Add(const PeerReport& aReport, TimePoint aAsOf)
 {
-  m_asOfMs += aReport.routers * static_cast<double>(aAsOf.count());
+  m_asOfMs += aReport.routerCount * static_cast<double>(aAsOf.count());
   for (const auto& load : aReport.loads) {
     auto& sum = m_loads[load.upstream];
     sum.upstream = load.upstream;
@@ -16,23 +16,23 @@
   }
   for (const auto& [workspace, rate] : aReport.rates) {
     auto& sum = m_rates[workspace];
-    sum.asked += rate.asked;
-    sum.begun += rate.begun;
+    sum.demand += rate.demand;
+    sum.admitted += rate.admitted;
   }
   for (const auto& [service, rate] : aReport.calls) {
     auto& sum = m_calls[service];
-    sum.asked += rate.asked;
+    sum.demand += rate.demand;
     sum.answered += rate.answered;
   }
-  m_routers += aReport.routers;
-  m_busy += aReport.busy;
-  m_reading += aReport.reading;
+  m_routers += aReport.routerCount;
+  m_busy += aReport.busyRouters;
+  m_reading += aReport.prefillDemand;
 }
 
 void
-LoadSum::TakeOut(const PeerReport& aReport)
+LoadSum::Subtract(const PeerReport& aReport)
 {
-  const auto routers = std::min(m_routers, aReport.routers);
+  const auto routers = std::min(m_routers, aReport.routerCount);
   m_asOfMs -= routers * static_cast<double>(AsOf().count());
   for (const auto& load : aReport.loads) {
     auto& sum = m_loads[load.upstream];
@@ -42,21 +42,21 @@
   }
   for (const auto& [workspace, rate] : aReport.rates) {
     auto& sum = m_rates[workspace];
-    sum.asked = std::max(0.0, sum.asked - rate.asked);
-    sum.begun = std::max(0.0, sum.begun - rate.begun);
+    sum.demand = std::max(0.0, sum.demand - rate.demand);
+    sum.admitted = std::max(0.0, sum.admitted - rate.admitted);
   }
   for (const auto& [service, rate] : aReport.calls) {
     auto& sum = m_calls[service];
-    sum.asked = std::max(0.0, sum.asked - rate.asked);
+    sum.demand = std::max(0.0, sum.demand - rate.demand);
     sum.answered = std::max(0.0, sum.answered - rate.answered);
   }
-  m_reading = std::max(0.0, m_reading - aReport.reading);
+  m_reading = std::max(0.0, m_reading - aReport.prefillDemand);
   m_routers -= routers;
-  m_busy -= std::min(m_busy, aReport.busy);
+  m_busy -= std::min(m_busy, aReport.busyRouters);
 }
 
 void
-LoadSum::PutInto(PeerReport& aReport, TimePoint aNow) const
+LoadSum::WriteTo(PeerReport& aReport, TimePoint aNow) const
 {
   aReport.loads.clear();
   aReport.rates.clear();
@@ -70,9 +70,9 @@
   for (const auto& [service, rate] : m_calls) {
     aReport.calls.push_back({ service, rate });
   }
-  aReport.routers = m_routers;
-  aReport.busy = m_busy;
-  aReport.reading = m_reading;
+  aReport.routerCount = m_routers;
+  aReport.busyRouters = m_busy;
+  aReport.prefillDemand = m_reading;
   aReport.loadAge = aNow - AsOf();
 }
 
--- a/src/fleet/internal/membership.cpp
+++ b/src/fleet/internal/membership.cpp
@@ -35,22 +35,23 @@
 bool
 Membership::IsAlive(const Member& aMember, TimePoint aNow) const
 {
-  return aNow - aMember.aliveAt < kMemberAlive;
+  return aNow - aMember.aliveAt < kMemberAliveTimeout;
 }
 
 void
-Membership::Heard(const base::Address& aMember,
-                  std::uint32_t aZone,
-                  TimePoint aNow)
+Membership::RecordReport(const base::Address& aMember,
+                         std::uint32_t aZone,
+                         TimePoint aNow)
 {
-  Learn({ { aMember, aZone, Duration{} } }, aNow);
+  MergeMembers({ { aMember, aZone, Duration{} } }, aNow);
 }
 
 void
-Membership::Learn(const std::vector<KnownMember>& aMembers, TimePoint aNow)
+Membership::MergeMembers(const std::vector<MemberListEntry>& aMembers,
+                         TimePoint aNow)
 {
   for (const auto& known : aMembers) {
-    if (known.address == m_self.address || known.age > kMemberKept) {
+    if (known.address == m_self.address || known.age > kMemberTtl) {
       continue;
     }
     const auto text = known.address.Text();
@@ -73,7 +74,7 @@
 {
   std::vector<std::string> forgotten;
   std::erase_if(m_members, [&](const auto& aEntry) {
-    const bool isExpired = aNow - aEntry.second.aliveAt > kMemberKept;
+    const bool isExpired = aNow - aEntry.second.aliveAt > kMemberTtl;
     if (isExpired) {
       forgotten.push_back(aEntry.first);
     }
@@ -122,20 +123,20 @@
   const bool isAlone = !m_seeds.empty() && IsAlone(aNow);
   const bool hearsMajority = 2 * Alive(aNow) > set.routers.size();
   set.isSettled =
-    !isAlone && hearsMajority && aNow - m_newMemberAt >= kRoutersSettle;
+    !isAlone && hearsMajority && aNow - m_newMemberAt >= kMembershipSettleTime;
   return set;
 }
 
 std::vector<base::Address>
-Membership::SeedsToTell(TimePoint aNow)
+Membership::SeedsToContact(TimePoint aNow)
 {
   // All routers contact the same few seeds, so the period grows with the
   // fleet's size.
   const auto alive = Alive(aNow);
   const auto period =
     alive <= 1
-      ? kReportPeriod
-      : kSeedPeriod *
+      ? kReportInterval
+      : kSeedInterval *
           std::max<std::int64_t>(1, static_cast<std::int64_t>(alive / 32));
   if (aNow - m_seedsContactedAt < period) {
     return {};
@@ -144,20 +145,20 @@
   return m_seeds;
 }
 
-std::vector<KnownMember>
-Membership::Known(TimePoint aNow) const
+std::vector<MemberListEntry>
+Membership::Members(TimePoint aNow) const
 {
-  std::vector<KnownMember> known;
+  std::vector<MemberListEntry> known;
   for (const auto& [text, member] : m_members) {
     known.push_back({ member.address, member.zone, aNow - member.aliveAt });
   }
   return known;
 }
 
-std::vector<KnownMember>
-Membership::KnownOfZone(std::uint32_t aZone, TimePoint aNow) const
+std::vector<MemberListEntry>
+Membership::MembersOfZone(std::uint32_t aZone, TimePoint aNow) const
 {
-  auto known = Known(aNow);
+  auto known = Members(aNow);
   std::erase_if(known,
                 [&](const auto& aMember) { return aMember.zone != aZone; });
   return known;
--- a/src/fleet/internal/peerview.cpp
+++ b/src/fleet/internal/peerview.cpp
@@ -12,9 +12,9 @@
 //! after each report.
 constexpr std::size_t kMaxReportsToSumAtOnce = 12;
 //! Number of sent reports to keep. A received sum may contain any report that
-//! was sent within kReportKept.
+//! was sent within kReportTtl.
 constexpr std::size_t kSentReportsKept =
-  static_cast<std::size_t>(kReportKept / kReportPeriod) + 4;
+  static_cast<std::size_t>(kReportTtl / kReportInterval) + 4;
 
 std::uint32_t
 ZoneOf(std::uint64_t aGroup)
@@ -25,8 +25,9 @@
 bool
 IsOlder(const PeerReport& aNew, const PeerReport& aKnown)
 {
-  return aNew.life < aKnown.life ||
-         (aNew.life == aKnown.life && aNew.sequence <= aKnown.sequence);
+  return aNew.incarnation < aKnown.incarnation ||
+         (aNew.incarnation == aKnown.incarnation &&
+          aNew.sequence <= aKnown.sequence);
 }
 
 }
@@ -88,12 +89,12 @@
 }
 
 void
-PeerView::Sent(const PeerReport& aOwn)
+PeerView::RecordSent(const PeerReport& aOwn)
 {
   m_sentReports.push_back(aOwn);
-  m_sentReports.back().uses.clear();
+  m_sentReports.back().prefixUses.clear();
   m_sentReports.back().members.clear();
-  m_sentReports.back().crashNews = {};
+  m_sentReports.back().crashUpdates = {};
   if (m_sentReports.size() > kSentReportsKept) {
     m_sentReports.pop_front();
   }
@@ -103,7 +104,7 @@
 PeerView::Forget(TimePoint aNow)
 {
   const auto isExpired = [&](const auto& aEntry) {
-    return aNow - aEntry.second.receivedAt > kReportKept;
+    return aNow - aEntry.second.receivedAt > kReportTtl;
   };
   const auto dropped = std::erase_if(m_routerReports, isExpired) +
                        std::erase_if(m_groupSums, isExpired) +
@@ -167,7 +168,7 @@
   }
   m_sum.Add(newest->report, newest->AsOf());
   if (const auto* own = FindOwnReportIn(newest->report)) {
-    m_sum.TakeOut(*own);
+    m_sum.Subtract(*own);
   }
 }
 
@@ -211,7 +212,7 @@
   auto sum = aOwn;
   sum.scope = aScope;
   sum.sentAt = aNow;
-  aAll.PutInto(sum, aNow);
+  aAll.WriteTo(sum, aNow);
   return sum;
 }
 
@@ -249,13 +250,13 @@
 }
 
 Duration
-PeerView::NewsAge(TimePoint aNow) const
+PeerView::MeanLoadAge(TimePoint aNow) const
 {
-  return m_sum.Routers() == 0 ? Duration{} : aNow - m_sum.AsOf();
+  return m_sum.RouterCount() == 0 ? Duration{} : aNow - m_sum.AsOf();
 }
 
 Duration
-PeerView::Age(TimePoint aNow) const
+PeerView::OldestReportAge(TimePoint aNow) const
 {
   Duration oldest{};
   const auto includeTable = [&](const auto& aTable) {
--- a/src/fleet/internal/placement.cpp
+++ b/src/fleet/internal/placement.cpp
@@ -41,8 +41,9 @@
 double
 PlacementCostMs(const Candidate& aCandidate, double aPrefillCostWeight)
 {
-  const double prefillMs =
-    aCandidate.isEngine ? aCandidate.missingTokens / aCandidate.readRate : 0.0;
+  const double prefillMs = aCandidate.isEngine
+                             ? aCandidate.missingTokens / aCandidate.prefillRate
+                             : 0.0;
   //! NOTE some plain upstreams slow down as they fill up, so one with fewer
   //! requests is preferred even if both have free slots.
   const double occupancyMs =
@@ -50,9 +51,9 @@
       ? 0.0
       : aCandidate.serviceMs * std::min(aCandidate.running, aCandidate.slots) /
           std::max(aCandidate.slots, 1U);
-  return occupancyMs + aCandidate.failurePart * kFailureMs +
+  return occupancyMs + aCandidate.failureRatio * kFailurePenaltyMs +
          aPrefillCostWeight * prefillMs +
-         (aCandidate.sameZone ? 0.0 : kOtherZoneMs);
+         (aCandidate.sameZone ? 0.0 : kCrossZonePenaltyMs);
 }
 
 //! The rank's penalty in ms for a plain service. Its requests have no prefix,
@@ -61,7 +62,8 @@
 double
 PlainRankPenaltyMs(const Candidate& aCandidate, int aRank)
 {
-  return kSpreadPart * aCandidate.serviceMs * std::min(aRank, kMostRanks);
+  return kPlainRankPenaltyRatio * aCandidate.serviceMs *
+         std::min(aRank, kMaxPenalisedRanks);
 }
 
 //! Throughput per ms: tokens that an engine prefills, or requests that a plain
@@ -70,14 +72,14 @@
 Throughput(const Candidate& aCandidate)
 {
   return aCandidate.isEngine
-           ? aCandidate.readRate
+           ? aCandidate.prefillRate
            : aCandidate.slots / std::max(aCandidate.serviceMs, 1.0);
 }
 
 //! The weight of the request's prefill time in the cost of an engine.
 struct PrefillCostWeight
 {
-  double operator()(const PrefixAffinity&) const { return kRereadWeight; }
+  double operator()(const PrefixAffinity&) const { return kPrefillCostWeight; }
   double operator()(const LeastWait&) const { return 0.0; }
   double operator()(const SampledLeastWait&) const { return 0.0; }
 };
@@ -85,12 +87,18 @@
 //! How many of the ranked engines each policy considers.
 struct CandidateLimit
 {
-  std::size_t operator()(const PrefixAffinity&) const { return kPrefixReach; }
+  std::size_t operator()(const PrefixAffinity&) const
+  {
+    return kPrefixCandidates;
+  }
   std::size_t operator()(const LeastWait&) const
   {
     return std::numeric_limits<std::size_t>::max();
   }
-  std::size_t operator()(const SampledLeastWait&) const { return kSampleSize; }
+  std::size_t operator()(const SampledLeastWait&) const
+  {
+    return kSampledCandidates;
+  }
 };
 
 //! The rank's penalty in ms for an engine.
@@ -100,7 +108,7 @@
 
   double operator()(const PrefixAffinity&) const
   {
-    return kRankMs * std::min(rank, kMostRanks);
+    return kRankPenaltyMs * std::min(rank, kMaxPenalisedRanks);
   }
   //! Only breaks ties, so that routers do not all choose the same engine.
   double operator()(const LeastWait&) const { return 0.001 * rank; }
@@ -110,16 +118,16 @@
 }
 
 double
-Candidate::ForeseenMs() const
+Candidate::PredictedMs() const
 {
   const double excessRequests = static_cast<double>(running) + 1 - slots;
   if (isEngine) {
-    const double prefillMs = (unreadTokens + missingTokens) / readRate;
+    const double prefillMs = (unreadTokens + missingTokens) / prefillRate;
     //! NOTE without a free slot a request waits until others end.
     const double slotWaitMs =
-      excessRequests > 0 ? excessRequests * kFirstTokenFixedMs : 0.0;
-    const double copyMs = copy ? copy->millis : 0.0;
-    return kFirstTokenFixedMs + copyMs + prefillMs + slotWaitMs;
+      excessRequests > 0 ? excessRequests * kFirstTokenOverheadMs : 0.0;
+    const double copyMs = copy ? copy->durationMs : 0.0;
+    return kFirstTokenOverheadMs + copyMs + prefillMs + slotWaitMs;
   }
   return serviceMs * Rounds();
 }
@@ -140,21 +148,21 @@
 }
 
 PlacementPolicy
-Spread()
+OverflowPolicy()
 {
   return SampledLeastWait{};
 }
 
 std::size_t
-ReachOf(const PlacementPolicy& aPolicy)
+MaxCandidates(const PlacementPolicy& aPolicy)
 {
   return std::visit(CandidateLimit{}, aPolicy);
 }
 
 void
-KeepNearest(std::vector<UpstreamId>& aUpstreams,
-            std::uint64_t aKey,
-            std::size_t aCount)
+KeepTopRanked(std::vector<UpstreamId>& aUpstreams,
+              std::uint64_t aKey,
+              std::size_t aCount)
 {
   if (aUpstreams.size() <= aCount) {
     return;
@@ -191,13 +199,14 @@
     const double rankPenalty = candidate.isEngine
                                  ? std::visit(RankPenalty{ ranks[i] }, aPolicy)
                                  : PlainRankPenaltyMs(candidate, ranks[i]);
-    options.push_back({ candidate.ForeseenMs() +
+    options.push_back({ candidate.PredictedMs() +
                           PlacementCostMs(candidate, prefillCostWeight) +
                           rankPenalty,
                         Throughput(candidate) });
   }
-  const auto best = DrawByParts(SpreadParts(options, aUnseen.ms), aUnseen.draw);
-  return Placed{ best, aCandidates[best].ForeseenMs(), ranks[best] };
+  const auto best =
+    PickByWeight(SpreadWeights(options, aUnseen.ms), aUnseen.draw);
+  return Placed{ best, aCandidates[best].PredictedMs(), ranks[best] };
 }
 
 }
--- a/src/fleet/internal/readingqueue.cpp
+++ b/src/fleet/internal/prefillqueue.cpp
@@ -1,4 +1,4 @@
-#include "fleet/readingqueue.h"
+#include "fleet/prefillqueue.h"
 
 #include "fleet/fleetconstants.h"
 
@@ -19,7 +19,7 @@
 }
 
 double
-ReadingQueue::Prefill::TokensLeft(double aNow) const
+PrefillQueue::Prefill::TokensLeft(double aNow) const
 {
   if (aNow >= overdueAt || aNow <= startsAt) {
     return tokens;
@@ -30,11 +30,11 @@
 }
 
 void
-ReadingQueue::Sent(std::uint64_t aAttempt,
-                   double aTokens,
-                   double aAheadMs,
-                   double aPrefillMs,
-                   TimePoint aNow)
+PrefillQueue::Add(std::uint64_t aAttempt,
+                  double aTokens,
+                  double aAheadMs,
+                  double aPrefillMs,
+                  TimePoint aNow)
 {
   if (aTokens <= 0 || aPrefillMs <= 0) {
     return;
@@ -49,7 +49,7 @@
 }
 
 void
-ReadingQueue::Done(std::uint64_t aAttempt)
+PrefillQueue::Remove(std::uint64_t aAttempt)
 {
   std::erase_if(m_prefills, [&](const Prefill& aPrefill) {
     return aPrefill.attempt == aAttempt;
@@ -57,7 +57,7 @@
 }
 
 double
-ReadingQueue::Unread(TimePoint aNow) const
+PrefillQueue::UnreadTokens(TimePoint aNow) const
 {
   double unread = 0;
   for (const auto& prefill : m_prefills) {
--- a/src/fleet/internal/prefixcopy.cpp
+++ b/src/fleet/internal/prefixcopy.cpp
@@ -16,15 +16,15 @@
 double
 CopyDurationMs(const Service& aService, double aTokens)
 {
-  const double bits = aTokens * aService.bytesPerToken * kBitsPerByte;
+  const double bits = aTokens * aService.kvBytesPerToken * kBitsPerByte;
   return kCopySetupMs + bits / (aService.copyMbps * kBitsPerMsPerMbps);
 }
 
 std::optional<PrefixCopy>
-ChooseCopy(const Service& aService,
-           const std::vector<PrefixHolder>& aHolders,
-           const PrefixReader& aReader,
-           std::uint64_t aKey)
+ChooseCopySource(const Service& aService,
+                 const std::vector<PrefixHolder>& aHolders,
+                 const CopyRecipient& aReader,
+                 std::uint64_t aKey)
 {
   if (!aService.CanCopy()) {
     return std::nullopt;
@@ -53,7 +53,7 @@
     return PrefixCopy{ best->upstream, 0, 0 };
   }
   const double durationMs = CopyDurationMs(aService, tokens);
-  if (durationMs > kCopyWorth * tokens / aReader.tokensPerMs) {
+  if (durationMs > kMaxCopyCostRatio * tokens / aReader.tokensPerMs) {
     return std::nullopt;
   }
   return PrefixCopy{ best->upstream, tokens, durationMs };
--- a/src/fleet/internal/prefixmap.cpp
+++ b/src/fleet/internal/prefixmap.cpp
@@ -19,7 +19,7 @@
 }
 
 void
-PrefixMap::Used(std::uint64_t aPart, UpstreamId aUpstream)
+PrefixMap::RecordUse(std::uint64_t aPart, UpstreamId aUpstream)
 {
   auto& holders = m_holders[aPart];
   const auto found = FindHolder(holders, aUpstream);
@@ -31,7 +31,7 @@
 }
 
 std::uint32_t
-PrefixMap::Held(const Work& aWork, UpstreamId aUpstream) const
+PrefixMap::HeldTokens(const Work& aWork, UpstreamId aUpstream) const
 {
   std::uint32_t held = 0;
   for (const auto& part : aWork.prompt) {
--- a/src/fleet/internal/retrypolicy.cpp
+++ b/src/fleet/internal/retrypolicy.cpp
@@ -12,7 +12,7 @@
 FinalAnswer(const FailedAttempt& aFailed)
 {
   if (aFailed.answerBegun) {
-    return AfterFailure::Cut;
+    return AfterFailure::AbortAnswer;
   }
   return aFailed.attemptsRun == 0 ? AfterFailure::AnswerNotRun
                                   : AfterFailure::AnswerUnknown;
@@ -35,19 +35,19 @@
   const bool canResume =
     aFailed.kind == CallKind::Stream && aFailed.mayRunAgain;
   if (aFailed.answerBegun && !canResume) {
-    return AfterFailure::Cut;
+    return AfterFailure::AbortAnswer;
   }
   const bool retryAllowed = aBudgetAllows || IsExemptFromBudget(aFailed);
-  if (!retryAllowed || aFailed.timeLeft < kRetryLeast) {
+  if (!retryAllowed || aFailed.timeLeft < kMinRetryTime) {
     return FinalAnswer(aFailed);
   }
   const bool nothingRan = aFailed.attemptsRun == 0;
   if (nothingRan) {
-    return aFailed.attemptsNotRun < kMostNotRunAttempts ? AfterFailure::Retry
-                                                        : FinalAnswer(aFailed);
+    return aFailed.attemptsNotRun < kMaxNotRunAttempts ? AfterFailure::Retry
+                                                       : FinalAnswer(aFailed);
   }
   const bool hasAttemptsLeft = aFailed.attemptsRun < aFailed.maxAttempts &&
-                               aFailed.attemptsNotRun < kMostNotRunAttempts;
+                               aFailed.attemptsNotRun < kMaxNotRunAttempts;
   return aFailed.mayRunAgain && hasAttemptsLeft ? AfterFailure::Retry
                                                 : FinalAnswer(aFailed);
 }
@@ -69,12 +69,12 @@
 double
 RetryBudget::LocalSlack() const
 {
-  return m_slack * kRetryBudgetUse / static_cast<double>(m_routers);
+  return m_slack * kRetryBudgetRatio / static_cast<double>(m_routers);
 }
 
 //! The slack is refilled over one window, so a window of that length admits at
-//! most twice the bucket size. LocalSlack includes kRetryBudgetUse, a half, so
-//! twice the bucket size is this router's full share.
+//! most twice the bucket size. LocalSlack includes kRetryBudgetRatio, a half,
+//! so twice the bucket size is this router's full share.
 RetryBudget::Bucket&
 RetryBudget::Refill(const std::string& aService, TimePoint aNow)
 {
@@ -96,7 +96,7 @@
 void
 RetryBudget::CountRequest(const std::string& aService, TimePoint aNow)
 {
-  Refill(aService, aNow).tokens += m_ratio * kRetryBudgetUse;
+  Refill(aService, aNow).tokens += m_ratio * kRetryBudgetRatio;
 }
 
 bool
--- a/src/fleet/internal/sourceoptions.cpp
+++ b/src/fleet/internal/sourceoptions.cpp
@@ -26,11 +26,11 @@
 AddRouters(SourceOptions& aOptions,
            const std::vector<base::Address>& aRouters,
            std::size_t aMaxCount,
-           const SourceView& aView)
+           const SourceContext& aView)
 {
   for (std::size_t i = 0; i < std::min(aMaxCount, aRouters.size()); ++i) {
     const auto& router = aRouters[(aView.hash + i) % aRouters.size()];
-    const NewsSource source{ SourceKind::Router, router };
+    const StoreSource source{ SourceKind::Router, router };
     const auto& order = aOptions.order;
     const bool isListed =
       std::find(order.begin(), order.end(), source) != order.end();
@@ -43,7 +43,7 @@
 std::optional<std::size_t>
 IndexOf(const SourceOptions& aOptions, const base::Address& aRouter)
 {
-  const NewsSource source{ SourceKind::Router, aRouter };
+  const StoreSource source{ SourceKind::Router, aRouter };
   const auto& order = aOptions.order;
   const auto found = std::find(order.begin(), order.end(), source);
   if (found == order.end()) {
@@ -53,31 +53,31 @@
 }
 
 void
-AddKnownReader(SourceOptions& aOptions, const SourceView& aView)
+AddFreshestReader(SourceOptions& aOptions, const SourceContext& aView)
 {
-  if (aView.knownReader) {
-    AddRouters(aOptions, { *aView.knownReader }, 1, aView);
-    aOptions.known = IndexOf(aOptions, *aView.knownReader);
+  if (aView.freshestReader) {
+    AddRouters(aOptions, { *aView.freshestReader }, 1, aView);
+    aOptions.fresherIndex = IndexOf(aOptions, *aView.freshestReader);
   }
 }
 
 SourceOptions
-OptionsAtStart(const SourceView& aView)
+OptionsAtStart(const SourceContext& aView)
 {
   auto options = EmptyOptions();
   AddRouters(options, aView.seeds, 1, aView);
   options.order.emplace_back();
-  options.patience = aView.seedWait;
+  options.firstAnswerTimeout = aView.seedWait;
   return options;
 }
 
 SourceOptions
-OptionsWithStoreFirst(const SourceView& aView, const ExchangePlan& aPlan)
+OptionsWithStoreFirst(const SourceContext& aView, const ExchangePlan& aPlan)
 {
   auto options = EmptyOptions();
   options.order.emplace_back();
-  AddKnownReader(options, aView);
-  AddRouters(options, aPlan.tell, kMaxPeerSources, aView);
+  AddFreshestReader(options, aView);
+  AddRouters(options, aPlan.reportTargets, kMaxPeerSources, aView);
   return options;
 }
 
@@ -87,13 +87,14 @@
 TakeoverProofAge(std::size_t aRank)
 {
   const auto ranksAhead = aRank - std::min(aRank, kStoreReaders);
-  return kTakeoverAfter + static_cast<std::int64_t>(ranksAhead) * kTakeoverStep;
+  return kTakeoverProofAge +
+         static_cast<std::int64_t>(ranksAhead) * kTakeoverStagger;
 }
 
 }
 
 void
-KnownReader::Learn(const base::Address& aReader, TimePoint aProvenAt)
+FreshestReader::Update(const base::Address& aReader, TimePoint aProvenAt)
 {
   if (aProvenAt > m_provenAt) {
     m_reader = aReader;
@@ -102,29 +103,30 @@
 }
 
 std::optional<base::Address>
-KnownReader::Best(TimePoint aNow) const
+FreshestReader::Reader(TimePoint aNow) const
 {
-  if (ProofAge(aNow) > kSourceStale) {
+  if (ProofAge(aNow) > kMaxSourceProofAge) {
     return {};
   }
   return m_reader;
 }
 
 std::optional<base::Address>
-KnownReader::Better(TimePoint aOwn, TimePoint aNow) const
+FreshestReader::ReaderFresherThan(TimePoint aOwn, TimePoint aNow) const
 {
-  if (m_provenAt - kProofBetter < aOwn) {
+  if (m_provenAt - kMinProofAdvantage < aOwn) {
     return {};
   }
-  return Best(aNow);
+  return Reader(aNow);
 }
 
 SourceOptions
-MakeSourceOptions(const SourceView& aView, const ExchangePlan& aPlan)
+MakeSourceOptions(const SourceContext& aView, const ExchangePlan& aPlan)
 {
   const bool hasLearnedFleet =
     aPlan.IsLarge() && aView.proofAge < aView.sinceStart;
-  const bool isStarting = aView.sinceStart < kSourceSettle && !hasLearnedFleet;
+  const bool isStarting =
+    aView.sinceStart < kSourceSettleTime && !hasLearnedFleet;
   if (isStarting && !aView.isSeed && !aView.seeds.empty()) {
     return OptionsAtStart(aView);
   }
@@ -132,18 +134,19 @@
     return OptionsWithStoreFirst(aView, aPlan);
   }
   auto options = EmptyOptions();
-  const bool isReader = aPlan.readRank < kStoreReaders;
+  const bool isReader = aPlan.storeReadRank < kStoreReaders;
   if (isReader) {
     options.order.emplace_back();
   } else {
-    const auto& preferred = aPlan.isHub ? aPlan.readers : aPlan.groupHubs;
+    const auto& preferred = aPlan.isHub ? aPlan.storeReaders : aPlan.groupHubs;
     AddRouters(options, preferred, 1, aView);
   }
-  AddKnownReader(options, aView);
+  AddFreshestReader(options, aView);
   AddRouters(options, aPlan.groupHubs, aPlan.groupHubs.size(), aView);
-  AddRouters(options, aPlan.readers, aPlan.readers.size(), aView);
-  options.takesOver = !isReader && !aView.knownReader &&
-                      aView.proofAge > TakeoverProofAge(aPlan.readRank);
+  AddRouters(options, aPlan.storeReaders, aPlan.storeReaders.size(), aView);
+  options.shouldTakeOver =
+    !isReader && !aView.freshestReader &&
+    aView.proofAge > TakeoverProofAge(aPlan.storeReadRank);
   return options;
 }
 
--- a/src/fleet/internal/sourcepolicy.cpp
+++ b/src/fleet/internal/sourceselector.cpp
@@ -1,4 +1,4 @@
-#include "fleet/sourcepolicy.h"
+#include "fleet/sourceselector.h"
 
 #include "fleet/fleetconstants.h"
 
@@ -6,13 +6,13 @@
 
 namespace hemlockgauge::fleet {
 
-SourcePolicy::SourcePolicy()
-  : m_minDwell(kSourceDwell)
+SourceSelector::SourceSelector()
+  : m_minDwell(kMinSourceDwell)
 {
 }
 
 void
-SourcePolicy::SetOptions(const SourceOptions& aOptions, TimePoint aNow)
+SourceSelector::SetOptions(const SourceOptions& aOptions, TimePoint aNow)
 {
   const bool sameOrder = aOptions.order == m_options.order;
   m_options = aOptions;
@@ -36,7 +36,7 @@
 }
 
 void
-SourcePolicy::StartUsing(const NewsSource& aSource, TimePoint aNow)
+SourceSelector::StartUsing(const StoreSource& aSource, TimePoint aNow)
 {
   m_hasStarted = true;
   m_current = aSource;
@@ -47,14 +47,14 @@
 }
 
 void
-SourcePolicy::Pending(TimePoint aNow)
+SourceSelector::Pending(TimePoint aNow)
 {
   m_answeredAt = aNow;
   m_isPending = true;
 }
 
 void
-SourcePolicy::SelectSource(std::size_t aIndex, TimePoint aNow)
+SourceSelector::SelectSource(std::size_t aIndex, TimePoint aNow)
 {
   m_hasTakenOver = false;
   m_index = aIndex;
@@ -62,57 +62,57 @@
 }
 
 void
-SourcePolicy::TakeOver(TimePoint aNow)
+SourceSelector::TakeOver(TimePoint aNow)
 {
   m_hasTakenOver = true;
   m_takeoverSucceeded = false;
-  StartUsing(NewsSource{}, aNow);
+  StartUsing(StoreSource{}, aNow);
 }
 
 void
-SourcePolicy::Answered(Duration aProofAge, TimePoint aNow)
+SourceSelector::Answered(Duration aProofAge, TimePoint aNow)
 {
   m_answeredAt = aNow;
   m_proofAge = aProofAge;
   if (!IsStale(aNow)) {
-    m_minDwell = kSourceDwell;
+    m_minDwell = kMinSourceDwell;
     m_takeoverSucceeded = m_takeoverSucceeded || m_hasTakenOver;
   }
 }
 
 bool
-SourcePolicy::IsSilent(TimePoint aNow) const
+SourceSelector::IsSilent(TimePoint aNow) const
 {
   auto timeout =
-    m_current.kind == SourceKind::Store ? kStoreSilent : kRouterSilent;
+    m_current.kind == SourceKind::Store ? kStoreTimeout : kRouterTimeout;
   if (m_current.kind == SourceKind::Store && IsPreferred()) {
-    timeout = kStoreSilentForAll;
+    timeout = kStoreReaderTimeout;
   }
-  if (!m_proofAge && !m_isPending && m_options.patience &&
+  if (!m_proofAge && !m_isPending && m_options.firstAnswerTimeout &&
       m_current.kind == SourceKind::Router) {
-    timeout = *m_options.patience;
+    timeout = *m_options.firstAnswerTimeout;
   }
   return aNow - m_answeredAt > timeout;
 }
 
 bool
-SourcePolicy::IsStale(TimePoint aNow) const
+SourceSelector::IsStale(TimePoint aNow) const
 {
-  return m_proofAge && *m_proofAge + (aNow - m_answeredAt) > kSourceStale;
+  return m_proofAge && *m_proofAge + (aNow - m_answeredAt) > kMaxSourceProofAge;
 }
 
 //! If the store stopped answering this router but another router still reads
 //! it, this router changes to that one.
 bool
-SourcePolicy::IsBehindKnown(TimePoint aNow) const
+SourceSelector::ShouldUseFresherSource(TimePoint aNow) const
 {
-  if (!m_options.known) {
+  if (!m_options.fresherIndex) {
     return false;
   }
   if (m_current.kind == SourceKind::Store) {
-    return aNow - m_answeredAt > kStoreLate;
+    return aNow - m_answeredAt > kStoreFailoverTimeout;
   }
-  return m_index != *m_options.known && IsStale(aNow);
+  return m_index != *m_options.fresherIndex && IsStale(aNow);
 }
 
 //! Moves on to the next source. A router that prefers the store returns to it
@@ -120,11 +120,11 @@
 //! reachable again. While all sources fail, each is kept longer than the one
 //! before, since each change of source may transfer the whole upstream list.
 void
-SourcePolicy::MoveOn(TimePoint aNow)
+SourceSelector::MoveOn(TimePoint aNow)
 {
-  m_minDwell = std::min(m_minDwell * 2, kSourceDwellMost);
+  m_minDwell = std::min(m_minDwell * 2, kMaxSourceDwell);
   if (m_hasTakenOver) {
-    m_mayTakeOverAt = aNow + kTakeoverPause;
+    m_mayTakeOverAt = aNow + kTakeoverBackoff;
   }
   const bool backToStore =
     !IsPreferred() && m_options.order[0].kind == SourceKind::Store;
@@ -133,22 +133,23 @@
 }
 
 bool
-SourcePolicy::Tick(TimePoint aNow)
+SourceSelector::Tick(TimePoint aNow)
 {
   const auto before = m_current;
   const auto usedFor = aNow - m_selectedAt;
   const bool prefersStore = m_options.order[0].kind == SourceKind::Store;
-  const bool dwellIsOver = usedFor > (prefersStore ? kSourceDwell : m_minDwell);
-  const bool isDue = m_options.takesOver && aNow >= m_mayTakeOverAt;
+  const bool dwellIsOver =
+    usedFor > (prefersStore ? kMinSourceDwell : m_minDwell);
+  const bool isDue = m_options.shouldTakeOver && aNow >= m_mayTakeOverAt;
   const bool mayTakeOverAgain = m_takeoverSucceeded && IsStale(aNow);
   const bool canMove = m_hasTakenOver || m_options.order.size() > 1;
-  if (IsBehindKnown(aNow)) {
-    SelectSource(*m_options.known, aNow);
+  if (ShouldUseFresherSource(aNow)) {
+    SelectSource(*m_options.fresherIndex, aNow);
   } else if (!m_hasTakenOver && (isDue || mayTakeOverAgain)) {
     TakeOver(aNow);
   } else if (canMove && (IsSilent(aNow) || (IsStale(aNow) && dwellIsOver))) {
     MoveOn(aNow);
-  } else if (!IsPreferred() && usedFor > kSourceRetry) {
+  } else if (!IsPreferred() && usedFor > kSourceRetryInterval) {
     SelectSource(0, aNow);
   }
   return !(before == m_current);
--- a/src/fleet/internal/newslog.cpp
+++ b/src/fleet/internal/storechangelog.cpp
@@ -1,4 +1,4 @@
-#include "fleet/newslog.h"
+#include "fleet/storechangelog.h"
 
 #include "base/hash.h"
 
@@ -14,13 +14,13 @@
 
 }
 
-NewsLog::NewsLog(std::uint64_t aLife)
+StoreChangeLog::StoreChangeLog(std::uint64_t aLife)
   : m_life(aLife)
 {
 }
 
 void
-NewsLog::SetConfig(std::uint64_t aVersion, const std::string& aBytes)
+StoreChangeLog::SetConfig(std::uint64_t aVersion, const std::string& aBytes)
 {
   if (aVersion > m_configVersion) {
     m_configVersion = aVersion;
@@ -29,7 +29,7 @@
 }
 
 void
-NewsLog::LogChange(const std::string& aId)
+StoreChangeLog::LogChange(const std::string& aId)
 {
   m_changes.push_back({ ++m_sequence, aId });
   m_digest = 0;
@@ -39,7 +39,8 @@
 }
 
 void
-NewsLog::SetUpstreams(const std::map<std::string, UpstreamEntry>& aEntries)
+StoreChangeLog::SetUpstreams(
+  const std::map<std::string, UpstreamEntry>& aEntries)
 {
   for (const auto& [id, entry] : aEntries) {
     const auto known = m_upstreams.find(id);
@@ -57,7 +58,7 @@
 }
 
 void
-NewsLog::SetEvacuations(const std::vector<Evacuation>& aAll)
+StoreChangeLog::SetEvacuations(const std::vector<Evacuation>& aAll)
 {
   if (m_evacuations != aAll) {
     m_evacuations = aAll;
@@ -66,23 +67,23 @@
 }
 
 bool
-NewsLog::CoversSince(const NewsAsk& aAsk) const
+StoreChangeLog::CoversSince(const StoreUpdateRequest& aAsk) const
 {
   const auto oldest =
     m_changes.empty() ? m_sequence + 1 : m_changes.front().sequence;
-  return aAsk.life == m_life && aAsk.sequence <= m_sequence &&
+  return aAsk.incarnation == m_life && aAsk.sequence <= m_sequence &&
          aAsk.sequence + 1 >= oldest;
 }
 
 bool
-NewsLog::WantsAll(const NewsAsk& aAsk) const
+StoreChangeLog::NeedsFullList(const StoreUpdateRequest& aAsk) const
 {
   const bool sameList = aAsk.digest != 0 && aAsk.digest == Digest();
   return !CoversSince(aAsk) && !sameList;
 }
 
 std::uint64_t
-NewsLog::Digest() const
+StoreChangeLog::Digest() const
 {
   if (m_digest == 0 && m_hasUpstreams) {
     m_digest = 1;
@@ -103,14 +104,14 @@
 }
 
 bool
-NewsLog::HasNews(const NewsAsk& aAsk) const
+StoreChangeLog::HasUpdateFor(const StoreUpdateRequest& aAsk) const
 {
   return !CoversSince(aAsk) || aAsk.sequence < m_sequence ||
          aAsk.configVersion < m_configVersion;
 }
 
 std::vector<UpstreamEntry>
-NewsLog::AllEntries() const
+StoreChangeLog::AllEntries() const
 {
   std::vector<UpstreamEntry> all;
   for (const auto& [id, entry] : m_upstreams) {
@@ -119,31 +120,31 @@
   return all;
 }
 
-News
-NewsLog::All() const
+StoreUpdate
+StoreChangeLog::FullList() const
 {
-  News news;
-  news.state = NewsState::Unproven;
-  news.life = m_life;
+  StoreUpdate news;
+  news.state = StoreUpdateState::Unproven;
+  news.incarnation = m_life;
   news.sequence = m_sequence;
-  news.full = true;
+  news.isFullList = true;
   news.upstreams = AllEntries();
   return news;
 }
 
-News
-NewsLog::Answer(const NewsAsk& aAsk, Duration aProofAge) const
+StoreUpdate
+StoreChangeLog::Answer(const StoreUpdateRequest& aAsk, Duration aProofAge) const
 {
-  News news;
-  news.life = m_life;
+  StoreUpdate news;
+  news.incarnation = m_life;
   news.sequence = m_sequence;
   news.proofAge = aProofAge;
   if (aAsk.configVersion < m_configVersion) {
     news.config = m_config;
   }
   news.evacuations = m_evacuations;
-  news.full = WantsAll(aAsk);
-  if (news.full) {
+  news.isFullList = NeedsFullList(aAsk);
+  if (news.isFullList) {
     news.upstreams = AllEntries();
   }
   if (!CoversSince(aAsk)) {
--- a/src/fleet/internal/storeera.cpp
+++ b/src/fleet/internal/storeera.cpp
@@ -7,7 +7,7 @@
 namespace hemlockgauge::fleet {
 
 bool
-StoreEra::Seen(std::uint64_t aEra, TimePoint aNow)
+StoreEra::Observe(std::uint64_t aEra, TimePoint aNow)
 {
   if (m_era && aEra < *m_era) {
     return false;
@@ -20,7 +20,7 @@
 }
 
 void
-StoreEra::Told(std::uint64_t aEra, Duration aAge, TimePoint aNow)
+StoreEra::Learn(std::uint64_t aEra, Duration aAge, TimePoint aNow)
 {
   const auto beganAt = aNow - aAge;
   if (!m_era || aEra > *m_era) {
@@ -34,13 +34,13 @@
 TimePoint
 StoreEra::SettledAt() const
 {
-  return m_beganAt ? *m_beganAt + kRewriteGrace : TimePoint::min();
+  return m_beganAt ? *m_beganAt + kRewriteGracePeriod : TimePoint::min();
 }
 
 std::optional<Duration>
 StoreEra::Age(TimePoint aNow) const
 {
-  if (!m_beganAt || aNow - *m_beganAt > kEraTold) {
+  if (!m_beganAt || aNow - *m_beganAt > kEraReportTime) {
     return std::nullopt;
   }
   return aNow - *m_beganAt;
--- a/src/fleet/internal/suitability.cpp
+++ b/src/fleet/internal/suitability.cpp
@@ -8,9 +8,9 @@
 namespace hemlockgauge::fleet {
 
 bool
-MayRunIn(const std::map<std::string, std::string>& aRegionOfZone,
-         const std::string& aZone,
-         const PlaceRequest& aRequest)
+IsRegionAllowed(const std::map<std::string, std::string>& aRegionOfZone,
+                const std::string& aZone,
+                const PlaceRequest& aRequest)
 {
   const auto* routeRegions = &aRequest.route->allowedRegions;
   const auto* workspaceRegions = aRequest.workspaceRegions;
@@ -33,21 +33,21 @@
 }
 
 Duration
-RetryAfterFor(Suitability aSuitability, Duration aUntilWarm)
+NoUpstreamRetryAfter(Suitability aSuitability, Duration aUntilWarm)
 {
   switch (aSuitability) {
     case Suitability::Cold:
-      return std::clamp(aUntilWarm, kRetryAfterLeast, kNoUpstreamWaitMost);
+      return std::clamp(aUntilWarm, kMinRetryAfter, kMaxNoUpstreamRetryAfter);
     case Suitability::OtherRegion:
     case Suitability::Evacuated:
-      return kNoUpstreamWaitMost;
+      return kMaxNoUpstreamRetryAfter;
     case Suitability::Unlisted:
     case Suitability::Draining:
     case Suitability::Tried:
     case Suitability::Fits:
-      return kNoUpstreamWait;
+      return kNoUpstreamRetryAfter;
   }
-  return kNoUpstreamWait;
+  return kNoUpstreamRetryAfter;
 }
 
 }
--- a/src/fleet/internal/upstreamhealth.cpp
+++ b/src/fleet/internal/upstreamhealth.cpp
@@ -8,7 +8,7 @@
 namespace hemlockgauge::fleet {
 
 double
-UpstreamHealth::FailurePart(TimePoint aNow) const
+UpstreamHealth::FailureRatio(TimePoint aNow) const
 {
   const auto elapsed = static_cast<double>((aNow - m_updatedAt).count());
   const auto halfLife = static_cast<double>(kFailureHalfLife.count());
@@ -18,8 +18,8 @@
 void
 UpstreamHealth::UpdateRatio(double aFailure, TimePoint aNow)
 {
-  const double before = FailurePart(aNow);
-  m_failureRatio = before + kFailureGain * (aFailure - before);
+  const double before = FailureRatio(aNow);
+  m_failureRatio = before + kFailureRatioGain * (aFailure - before);
   m_updatedAt = aNow;
 }
 
@@ -50,7 +50,7 @@
     return false;
   }
   m_ejection =
-    wasEjected ? std::min(m_ejection * 2, kEjectionMost) : kEjectionFirst;
+    wasEjected ? std::min(m_ejection * 2, kMaxEjectionTime) : kMinEjectionTime;
   m_ejectedUntil = aNow + m_ejection;
   return true;
 }
--- a/src/fleet/internal/upstreamlist.cpp
+++ b/src/fleet/internal/upstreamlist.cpp
@@ -40,8 +40,8 @@
     return;
   }
   if (aAt - *m_storeLostAt >= m_entryTtl) {
-    m_expiryWindowEnd = aAt + kLapseNoticed;
-    m_gracePeriodEnd = aAt + kLapseGrace;
+    m_expiryWindowEnd = aAt + kExpiryDetectionWindow;
+    m_gracePeriodEnd = aAt + kExpiryGracePeriod;
   }
   m_storeLostAt.reset();
 }
@@ -102,7 +102,7 @@
     MayHaveExpired(aNow) && entry.usable && !entry.draining;
   if (mayBeRenewed) {
     const bool newlyExpired = m_expired.emplace(aId, m_gracePeriodEnd).second;
-    return newlyExpired ? std::vector{ MakeNotice(entry, EntryChange::Lapsed) }
+    return newlyExpired ? std::vector{ MakeNotice(entry, EntryChange::Expired) }
                         : std::vector<EntryNotice>{};
   }
   m_entries.erase(found);
--- a/src/fleet/internal/warmup.cpp
+++ b/src/fleet/internal/warmup.cpp
@@ -77,7 +77,7 @@
 }
 
 void
-WarmUp::Sent(UpstreamId aUpstream, TimePoint aNow)
+WarmUp::RecordRequest(UpstreamId aUpstream, TimePoint aNow)
 {
   m_sentAt[aUpstream] = aNow;
 }
--- a/src/fleet/internal/passlevel.cpp
+++ b/src/fleet/internal/workspacethrottle.cpp
@@ -1,4 +1,4 @@
-#include "fleet/passlevel.h"
+#include "fleet/workspacethrottle.h"
 
 #include <algorithm>
 #include <limits>
@@ -14,7 +14,7 @@
 
 }
 
-PassLevel::PassLevel()
+WorkspaceThrottle::WorkspaceThrottle()
   : m_level(std::numeric_limits<double>::infinity())
 {
 }
@@ -23,20 +23,20 @@
 //! long. So the ratio is corrected by the rate that was actually admitted, in
 //! the same way for all workspaces whose demand exceeds the limit.
 double
-PassLevel::AdmittedRatioOf(const WorkspaceRate& aRate) const
+WorkspaceThrottle::AdmittedRatioOf(const WorkspaceRate& aRate) const
 {
-  if (aRate.asked <= m_level) {
+  if (aRate.demand <= m_level) {
     return 1.0;
   }
   const double correction = std::clamp(
-    m_level / std::max(aRate.begun, 1.0), kMinCorrection, kMaxCorrection);
-  return std::min(1.0, correction * m_level / aRate.asked);
+    m_level / std::max(aRate.admitted, 1.0), kMinCorrection, kMaxCorrection);
+  return std::min(1.0, correction * m_level / aRate.demand);
 }
 
 void
-PassLevel::Update(const WorkspaceRates& aRates, double aCapacity)
+WorkspaceThrottle::Update(const WorkspaceRates& aRates, double aCapacity)
 {
-  m_level = MaxMinLevel(aRates, aCapacity);
+  m_level = MaxMinShare(aRates, aCapacity);
   std::erase_if(m_accounts, [&](const auto& aEntry) {
     return !aRates.contains(aEntry.first);
   });
@@ -46,7 +46,7 @@
 }
 
 bool
-PassLevel::Pass(WorkspaceId aWorkspace)
+WorkspaceThrottle::TryAdmit(WorkspaceId aWorkspace)
 {
   const auto found = m_accounts.find(aWorkspace);
   if (found == m_accounts.end() || found->second.admittedRatio >= 1.0) {
--- a/src/fleet/memoryuse.h
+++ b/src/fleet/kvcacheuse.h
@@ -10,30 +10,32 @@
 //! requests that this router started lately. Routers report to each other only
 //! the tokens that need prefill; all other tokens that enter the engines' KV
 //! caches are assumed to be proportional to these.
-class MemoryUse
+class KvCacheUse
 {
 public:
   //! Records the start of a request. aPrefillTokens and aCopiedTokens: the
   //! prompt tokens missing at the engine, by whether it prefills or copies
   //! them.
-  void Begun(const Work& aWork, double aPrefillTokens, double aCopiedTokens)
+  void RecordRequest(const Work& aWork,
+                     double aPrefillTokens,
+                     double aCopiedTokens)
   {
     const double output = aWork.outputTokens;
     UpdateMean(m_weight, 1.0);
     UpdateMean(m_prefilled, aPrefillTokens);
     UpdateMean(m_filled, aPrefillTokens + aCopiedTokens + output);
-    UpdateMean(m_running, aWork.OwnTokens() + kMeanOutputRatio * output);
+    UpdateMean(m_running, aWork.UnsharedTokens() + kMeanOutputRatio * output);
   }
 
   //! Tokens that enter the KV cache for each token that is prefilled.
-  double FilledPerRead() const
+  double FilledPerPrefillToken() const
   {
     return m_prefilled > 0
              ? std::clamp(m_filled / m_prefilled, 1.0, kMaxFilledPerPrefill)
              : 1.0;
   }
   //! Mean number of unshared tokens of a running request.
-  double TokensOfRunning() const
+  double MeanRunningTokens() const
   {
     return m_weight > 0 ? m_running / m_weight : 0.0;
   }
--- a/src/fleet/loadspread.h
+++ b/src/fleet/loadspread.h
@@ -9,8 +9,8 @@
 //! A destination that a request may be sent to.
 struct SpreadOption
 {
-  double costMs = 0; //!< cost of sending there, including the wait
-  double speed = 1;  //!< work done there per ms, in any common unit
+  double costMs = 0;     //!< cost of sending there, including the wait
+  double throughput = 1; //!< work done there per ms, in any common unit
 };
 
 //! Load that other routers have sent since the load reports that this router
@@ -30,11 +30,11 @@
 //! Without unseen load, the cheapest option gets everything. aOptions must
 //! not be empty.
 std::vector<double>
-SpreadParts(const std::vector<SpreadOption>& aOptions, double aUnseenMs);
+SpreadWeights(const std::vector<SpreadOption>& aOptions, double aUnseenMs);
 
 //! Returns the index of the option that aDraw selects at random. aWeights must
 //! not be empty and must sum to 1; aDraw is uniform over all its values.
 std::size_t
-DrawByParts(const std::vector<double>& aWeights, std::uint64_t aDraw);
+PickByWeight(const std::vector<double>& aWeights, std::uint64_t aDraw);
 
 }
--- a/src/fleet/loadsum.h
+++ b/src/fleet/loadsum.h
@@ -17,18 +17,18 @@
   void Add(const PeerReport& aReport, TimePoint aAsOf);
   //! Subtracts a report that is contained in a sum added before. Counts
   //! and rates don't go below zero.
-  void TakeOut(const PeerReport& aReport);
+  void Subtract(const PeerReport& aReport);
   //! Replaces the loads, rates and router counts of aReport by those of this
   //! sum, and sets the age of the loads at aNow.
-  void PutInto(PeerReport& aReport, TimePoint aNow) const;
+  void WriteTo(PeerReport& aReport, TimePoint aNow) const;
   void Clear();
 
   UpstreamLoad LoadOf(UpstreamId aUpstream) const;
   const WorkspaceRates& Rates() const { return m_rates; }
   const CallRates& Calls() const { return m_calls; }
-  std::uint32_t Routers() const { return m_routers; }
-  std::uint32_t Busy() const { return m_busy; }
-  double Reading() const { return m_reading; }
+  std::uint32_t RouterCount() const { return m_routers; }
+  std::uint32_t BusyRouters() const { return m_busy; }
+  double PrefillDemand() const { return m_reading; }
   //! Time at which the loads were current, by this router's clock, as the mean
   //! over the routers.
   TimePoint AsOf() const;
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -22,10 +22,13 @@
              const std::vector<base::Address>& aSeeds);
 
   //! Records that a report of aMember arrived at aNow.
-  void Heard(const base::Address& aMember, std::uint32_t aZone, TimePoint aNow);
+  void RecordReport(const base::Address& aMember,
+                    std::uint32_t aZone,
+                    TimePoint aNow);
   //! Merges a member list that another router sent.
-  void Learn(const std::vector<KnownMember>& aMembers, TimePoint aNow);
-  //! Removes members that no router heard for kMemberKept and returns their
+  void MergeMembers(const std::vector<MemberListEntry>& aMembers,
+                    TimePoint aNow);
+  //! Removes members that no router heard for kMemberTtl and returns their
   //! addresses as text.
   std::vector<std::string> Forget(TimePoint aNow);
 
@@ -33,10 +36,10 @@
   //! Returns the seeds if it is time to contact them again, which reconnects
   //! the parts of the fleet after a network partition. Otherwise returns an
   //! empty list.
-  std::vector<base::Address> SeedsToTell(TimePoint aNow);
-  std::vector<KnownMember> Known(TimePoint aNow) const;
-  std::vector<KnownMember> KnownOfZone(std::uint32_t aZone,
-                                       TimePoint aNow) const;
+  std::vector<base::Address> SeedsToContact(TimePoint aNow);
+  std::vector<MemberListEntry> Members(TimePoint aNow) const;
+  std::vector<MemberListEntry> MembersOfZone(std::uint32_t aZone,
+                                             TimePoint aNow) const;
   //! Number of routers that are alive, including this one.
   std::size_t Alive(TimePoint aNow) const;
   bool IsAlone(TimePoint aNow) const { return Alive(aNow) <= 1; }
--- a/src/fleet/peerreport.h
+++ b/src/fleet/peerreport.h
@@ -58,7 +58,7 @@
 };
 
 //! Entry of the member list that routers exchange.
-struct KnownMember
+struct MemberListEntry
 {
   base::Address address;  //!< that accepts reports
   std::uint32_t zone = 0; //!< hash of its availability zone's name
@@ -77,20 +77,23 @@
 inline constexpr auto kReportScopeNames =
   base::MakeEnumNames<ReportScope>("router", "group", "fleet", "zone");
 
-//! Datagram that routers send to each other every kReportPeriod. A lost report
-//! is not sent again, since the next one holds newer values.
+//! Datagram that routers send to each other every kReportInterval. A lost
+//! report is not sent again, since the next one holds newer values.
 struct PeerReport
 {
-  std::string router;     //!< name of the sender
-  std::uint64_t life = 0; //!< incarnation: higher at each start of the router
+  std::string router; //!< name of the sender
+  std::uint64_t incarnation =
+    0; //!< incarnation: higher at each start of the router
   std::uint64_t sequence = 0; //!< number of the report within the incarnation
   TimePoint sentAt{};         //!< by the sender's clock; others only echo it
   ReportScope scope = ReportScope::Router;
-  std::uint32_t zone = 0;    //!< hash of the name of the sender's zone
-  std::uint64_t group = 0;   //!< id of the sender's group
-  std::uint32_t routers = 1; //!< number of routers that the report covers
-  std::uint32_t busy = 0;    //!< how many of them are busy, see kBusyAfter
-  double reading = 0; //!< prompt tokens/s to process for admitted requests
+  std::uint32_t zone = 0;        //!< hash of the name of the sender's zone
+  std::uint64_t group = 0;       //!< id of the sender's group
+  std::uint32_t routerCount = 1; //!< number of routers that the report covers
+  std::uint32_t busyRouters =
+    0; //!< how many of them are busy, see kBusyThreshold
+  double prefillDemand =
+    0;                //!< prompt tokens/s to process for admitted requests
   Duration loadAge{}; //!< mean age of the loads
   std::uint64_t configVersion = 0;
   Duration configAge{}; //!< time since it was confirmed to be the newest
@@ -109,9 +112,9 @@
   std::vector<UpstreamLoad> loads;
   std::vector<WorkspaceReport> rates;
   std::vector<ServiceReport> calls;
-  std::vector<PrefixUse> uses;
-  quarantine::CrashNews crashNews;
-  std::vector<KnownMember> members; //!< empty in most reports
+  std::vector<PrefixUse> prefixUses;
+  quarantine::CrashUpdates crashUpdates;
+  std::vector<MemberListEntry> members; //!< empty in most reports
 };
 
 }
--- a/src/fleet/peerview.h
+++ b/src/fleet/peerview.h
@@ -24,8 +24,8 @@
   bool Take(const PeerReport& aReport, TimePoint aNow);
   //! Keeps a report that this router sent, to subtract it from sums that
   //! contain it.
-  void Sent(const PeerReport& aOwn);
-  //! Removes reports older than kReportKept.
+  void RecordSent(const PeerReport& aOwn);
+  //! Removes reports older than kReportTtl.
   void Forget(TimePoint aNow);
 
   UpstreamLoad LoadOf(UpstreamId aUpstream) const
@@ -37,11 +37,11 @@
   const CallRates& Calls() const { return m_sum.Calls(); }
   //! Prompt tokens per second that upstreams have to process for the requests
   //! that the other routers admitted.
-  double Reading() const { return m_sum.Reading(); }
+  double PrefillDemand() const { return m_sum.PrefillDemand(); }
   //! Number of routers that the view covers, without this one.
-  std::size_t Routers() const { return m_sum.Routers(); }
-  //! Number of these routers that are busy, see PeerReport::busy.
-  std::size_t Busy() const { return m_sum.Busy(); }
+  std::size_t RouterCount() const { return m_sum.RouterCount(); }
+  //! Number of these routers that are busy, see PeerReport::busyRouters.
+  std::size_t BusyRouters() const { return m_sum.BusyRouters(); }
   //! The last report of each router that reports to this one directly.
   std::vector<HeardRouter> Heard() const;
   //! The sum over this router's group, itself included.
@@ -51,9 +51,9 @@
   //! The sum over the fleet, this router included.
   PeerReport FleetSum(const PeerReport& aOwn, TimePoint aNow);
   //! Mean age of the known loads of the other routers.
-  Duration NewsAge(TimePoint aNow) const;
+  Duration MeanLoadAge(TimePoint aNow) const;
   //! Time since the arrival of the oldest report in use.
-  Duration Age(TimePoint aNow) const;
+  Duration OldestReportAge(TimePoint aNow) const;
 
 private:
   struct ReceivedReport
--- a/src/fleet/placement.h
+++ b/src/fleet/placement.h
@@ -19,16 +19,16 @@
   double unreadTokens = 0;        //!< pending there, from all routers
   double missingTokens = 0;       //!< of this request, to be prefilled there
   std::optional<PrefixCopy> copy; //!< replaces part of the prefill
-  double readRate = 1;            //!< prefilled tokens per ms
+  double prefillRate = 1;         //!< prefilled tokens per ms
   std::uint32_t running = 0;      //!< requests, of all routers
   std::uint32_t slots = 1;
-  double serviceMs = 0;   //!< mean service time of a plain upstream's request
-  double failurePart = 0; //!< recent failures, see UpstreamHealth
+  double serviceMs = 0;    //!< mean service time of a plain upstream's request
+  double failureRatio = 0; //!< recent failures, see UpstreamHealth
   bool sameZone = true;
   bool isEngine = false;
 
   //! Predicted time in ms to the first token, or to a plain service's answer.
-  double ForeseenMs() const;
+  double PredictedMs() const;
   //! How many mean service times one more request takes at a plain service,
   //! including the wait for a slot; 1 where a slot is free.
   double Rounds() const;
@@ -38,10 +38,10 @@
 //! ranks the upstreams alike at all routers without communication; a lower
 //! ranked upstream is used once it is sooner by more than the rank's penalty.
 //! For loads of few long prefixes and many requests, each prefix is prefilled
-//! once and then found in the KV cache. Only the first kPrefixReach ranks are
-//! considered: load reports are a few hundred ms old, so if all routers looked
-//! at all engines, all would send to the few that were idle then and overload
-//! them for a second.
+//! once and then found in the KV cache. Only the first kPrefixCandidates ranks
+//! are considered: load reports are a few hundred ms old, so if all routers
+//! looked at all engines, all would send to the few that were idle then and
+//! overload them for a second.
 struct PrefixAffinity
 {};
 
@@ -49,9 +49,9 @@
 struct LeastWait
 {};
 
-//! The shortest predicted wait among kSampleSize engines that are sampled by
-//! the request's key, so that routers with the same outdated load reports
-//! choose different engines.
+//! The shortest predicted wait among kSampledCandidates engines that are
+//! sampled by the request's key, so that routers with the same outdated load
+//! reports choose different engines.
 struct SampledLeastWait
 {};
 
@@ -73,23 +73,23 @@
 //! places it: uses other engines, even if the whole prompt needs prefill there.
 //! To be used with the request's own key instead of its prefix.
 PlacementPolicy
-Spread();
+OverflowPolicy();
 
 //! How many of the engines ranked by the key aPolicy considers.
 std::size_t
-ReachOf(const PlacementPolicy& aPolicy);
+MaxCandidates(const PlacementPolicy& aPolicy);
 
 //! Keeps the aCount highest ranked upstreams for aKey, in unspecified order.
 void
-KeepNearest(std::vector<UpstreamId>& aUpstreams,
-            std::uint64_t aKey,
-            std::size_t aCount);
+KeepTopRanked(std::vector<UpstreamId>& aUpstreams,
+              std::uint64_t aKey,
+              std::size_t aCount);
 
 //! The chosen upstream.
 struct Placed
 {
   std::size_t candidate = 0; //!< index into the candidates
-  double foreseenMs = 0;     //!< see Candidate::ForeseenMs
+  double predictedMs = 0;    //!< see Candidate::PredictedMs
   int rank = 0;              //!< by rendezvous hashing of the key, from 0
 };
 
--- a/src/fleet/readingqueue.h
+++ b/src/fleet/prefillqueue.h
@@ -11,22 +11,22 @@
 //! thousands of tokens among short ones: if a prompt counts as a whole until
 //! its first token, an engine that has nearly finished it looks twice as busy
 //! as it is (median predicted latency of long prompts 421 ms, measured 210 ms).
-class ReadingQueue
+class PrefillQueue
 {
 public:
   //! Adds a prompt of aTokens that was sent to the engine. aAheadMs: predicted
   //! time until its prefill starts; aPrefillMs: predicted duration of the
   //! prefill.
-  void Sent(std::uint64_t aAttempt,
-            double aTokens,
-            double aAheadMs,
-            double aPrefillMs,
-            TimePoint aNow);
+  void Add(std::uint64_t aAttempt,
+           double aTokens,
+           double aAheadMs,
+           double aPrefillMs,
+           TimePoint aNow);
   //! Removes a prompt whose first token arrived or whose attempt ended.
-  void Done(std::uint64_t aAttempt);
+  void Remove(std::uint64_t aAttempt);
   //! Estimated tokens whose prefill is not finished. A prompt that is overdue
   //! counts as a whole again: the engine is slower than predicted.
-  double Unread(TimePoint aNow) const;
+  double UnreadTokens(TimePoint aNow) const;
 
 private:
   struct Prefill
--- a/src/fleet/readrate.h
+++ b/src/fleet/prefillrate.h
@@ -9,7 +9,7 @@
 //! Learns the prefill rate of an upstream from the latency of first tokens and
 //! the number of tokens prefilled before them. The platform does not publish
 //! it, it differs between upstreams, and some upstreams slow down.
-class ReadRate
+class PrefillRate
 {
 public:
   double TokensPerMs() const { return m_tokensPerMs; }
@@ -18,18 +18,18 @@
   //! its own and those of other requests; aMillis: latency of that first token.
   void Learn(double aTokens, double aMillis)
   {
-    if (aTokens < kReadSampleLeast) {
+    if (aTokens < kMinPrefillSampleTokens) {
       return;
     }
-    const double prefillMs = std::max(aMillis - kFirstTokenFixedMs, 1.0);
+    const double prefillMs = std::max(aMillis - kFirstTokenOverheadMs, 1.0);
     const double sample =
-      std::clamp(aTokens / prefillMs, kReadRateLeast, kReadRateMost);
-    m_tokensPerMs =
-      1.0 / ((1.0 - kReadRateGain) / m_tokensPerMs + kReadRateGain / sample);
+      std::clamp(aTokens / prefillMs, kMinPrefillRate, kMaxPrefillRate);
+    m_tokensPerMs = 1.0 / ((1.0 - kPrefillRateGain) / m_tokensPerMs +
+                           kPrefillRateGain / sample);
   }
 
 private:
-  double m_tokensPerMs = kReadRatePrior;
+  double m_tokensPerMs = kInitialPrefillRate;
 };
 
 }
--- a/src/fleet/prefixcopy.h
+++ b/src/fleet/prefixcopy.h
@@ -17,7 +17,7 @@
 };
 
 //! An engine that would prefill the rest of a prompt.
-struct PrefixReader
+struct CopyRecipient
 {
   UpstreamId upstream{};
   std::string_view zone;
@@ -32,7 +32,7 @@
   //! Tokens that need no prefill thanks to the copy; 0: none are known to be
   //! missing.
   double tokens = 0;
-  double millis = 0; //!< duration of the copy
+  double durationMs = 0; //!< duration of the copy
 };
 
 //! Time in ms that aService's engines take to copy the KV cache of aTokens.
@@ -49,13 +49,13 @@
 //! Chooses the holder of the most tokens, among equals one in the reader's
 //! zone, and then by a hash of aKey, which spreads copies over the holders.
 //! Returns nothing if the engines have no links between them or if prefill
-//! takes about as long as the copy (kCopyWorth). If the reader is assumed to
-//! hold as much, a holder is returned nevertheless, because the reader may have
-//! evicted it.
+//! takes about as long as the copy (kMaxCopyCostRatio). If the reader is
+//! assumed to hold as much, a holder is returned nevertheless, because the
+//! reader may have evicted it.
 std::optional<PrefixCopy>
-ChooseCopy(const Service& aService,
-           const std::vector<PrefixHolder>& aHolders,
-           const PrefixReader& aReader,
-           std::uint64_t aKey);
+ChooseCopySource(const Service& aService,
+                 const std::vector<PrefixHolder>& aHolders,
+                 const CopyRecipient& aReader,
+                 std::uint64_t aKey);
 
 }
--- a/src/fleet/prefixmap.h
+++ b/src/fleet/prefixmap.h
@@ -26,15 +26,15 @@
 
   //! Sets how many tokens enter an engine's KV cache until it has evicted a
   //! part that was not used meanwhile.
-  void SetKept(double aTokens) { m_retainedTokens = aTokens; }
+  void SetRetainedTokens(double aTokens) { m_retainedTokens = aTokens; }
   //! Records that a request used aPart at aUpstream, cached or not.
-  void Used(std::uint64_t aPart, UpstreamId aUpstream);
+  void RecordUse(std::uint64_t aPart, UpstreamId aUpstream);
   //! Tokens of the prompt's leading parts that aUpstream is estimated to hold.
-  std::uint32_t Held(const Work& aWork, UpstreamId aUpstream) const;
+  std::uint32_t HeldTokens(const Work& aWork, UpstreamId aUpstream) const;
   //! The upstreams that are estimated to hold aPart, in unspecified order.
   std::vector<UpstreamId> HoldersOf(std::uint64_t aPart) const;
   //! Records that aTokens more entered the KV cache of an average engine.
-  void Advance(double aTokens) { m_enteredTokens += aTokens; }
+  void AddEnteredTokens(double aTokens) { m_enteredTokens += aTokens; }
   //! Drops expired entries.
   void Forget();
   //! The number of pairs of a part and an upstream, expired ones included.
@@ -46,7 +46,7 @@
     return m_enteredTokens - aHolder.lastUse > m_retainedTokens;
   }
 
-  double m_retainedTokens = kPrefixKeptUnsaid;
+  double m_retainedTokens = kDefaultPromptCacheTokens;
   //! Tokens that have entered the KV cache of an average engine.
   double m_enteredTokens = 0;
   std::unordered_map<std::uint64_t, std::vector<Holder>> m_holders;
--- a/src/fleet/retrypolicy.h
+++ b/src/fleet/retrypolicy.h
@@ -32,7 +32,7 @@
   Retry,         //!< send to another upstream
   AnswerNotRun,  //!< answer that nothing ran and when to retry
   AnswerUnknown, //!< answer that the request may have run
-  Cut            //!< abort the partly sent answer
+  AbortAnswer    //!< abort the partly sent answer
 };
 inline constexpr auto kAfterFailureNames =
   base::MakeEnumNames<AfterFailure>("retry",
--- a/src/fleet/servicetime.h
+++ b/src/fleet/servicetime.h
@@ -11,37 +11,38 @@
 class ServiceTime
 {
 public:
-  //! The mean in ms, or kServicePriorMs before the first answer.
-  double Millis() const { return m_millis; }
+  //! The mean in ms, or kInitialServiceMs before the first answer.
+  double MeanMs() const { return m_millis; }
   void Learn(double aMillis)
   {
-    m_millis =
-      m_hasSample ? m_millis + kServiceGain * (aMillis - m_millis) : aMillis;
+    m_millis = m_hasSample ? m_millis + kServiceTimeGain * (aMillis - m_millis)
+                           : aMillis;
     m_hasSample = true;
   }
 
 private:
-  double m_millis = kServicePriorMs;
+  double m_millis = kInitialServiceMs;
   bool m_hasSample = false;
 };
 
 //! The average for one upstream of a plain service. While it has few answers,
 //! the service's average outweighs its own; otherwise the first upstream that
 //! answered would get all requests.
-class UpstreamTime
+class UpstreamServiceTime
 {
 public:
   //! The mean in ms, weighted with that of aService.
-  double Millis(const ServiceTime& aService) const
+  double MeanMs(const ServiceTime& aService) const
   {
     const double answers = m_answers;
-    return (answers * m_millis + kServiceWeight * aService.Millis()) /
-           (answers + kServiceWeight);
+    return (answers * m_millis + kServiceTimePriorWeight * aService.MeanMs()) /
+           (answers + kServiceTimePriorWeight);
   }
   void Learn(double aMillis)
   {
-    m_millis =
-      m_answers == 0 ? aMillis : m_millis + kServiceGain * (aMillis - m_millis);
+    m_millis = m_answers == 0
+                 ? aMillis
+                 : m_millis + kServiceTimeGain * (aMillis - m_millis);
     m_answers++;
   }
 
--- a/src/fleet/sourceoptions.h
+++ b/src/fleet/sourceoptions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "fleet/exchangeplan.h"
-#include "fleet/sourcepolicy.h"
+#include "fleet/sourceselector.h"
 
 #include <optional>
 #include <vector>
@@ -10,7 +10,7 @@
 
 //! Input of MakeSourceOptions. All addresses are those that routers accept
 //! reports at.
-struct SourceView
+struct SourceContext
 {
   base::Address self;
   std::uint32_t hash = 0; //!< distributes routers over equivalent sources
@@ -22,23 +22,25 @@
   //! Time since the store last confirmed this router's data.
   Duration proofAge{};
   //! The reader of the store with the newest proof in the reports of others, if
-  //! that proof is newer than this router's own by at least kProofBetter.
-  std::optional<base::Address> knownReader;
+  //! that proof is newer than this router's own by at least kMinProofAdvantage.
+  std::optional<base::Address> freshestReader;
 };
 
 //! The reader of the store with the newest proof that this router knows of. All
 //! routers include it in their reports, so that a router whose source is cut
 //! off from the store finds another one without trying all of them.
-class KnownReader
+class FreshestReader
 {
 public:
   //! Keeps aReader if its proof is newer than that of the kept reader.
-  void Learn(const base::Address& aReader, TimePoint aProvenAt);
-  //! Returns the reader, or no value if its proof is older than kSourceStale.
-  std::optional<base::Address> Best(TimePoint aNow) const;
-  //! Like Best(), but only if the proof is newer than aOwn by at least
-  //! kProofBetter.
-  std::optional<base::Address> Better(TimePoint aOwn, TimePoint aNow) const;
+  void Update(const base::Address& aReader, TimePoint aProvenAt);
+  //! Returns the reader, or no value if its proof is older than
+  //! kMaxSourceProofAge.
+  std::optional<base::Address> Reader(TimePoint aNow) const;
+  //! Like Reader(), but only if the proof is newer than aOwn by at least
+  //! kMinProofAdvantage.
+  std::optional<base::Address> ReaderFresherThan(TimePoint aOwn,
+                                                 TimePoint aNow) const;
   Duration ProofAge(TimePoint aNow) const { return aNow - m_provenAt; }
 
 private:
@@ -57,6 +59,6 @@
 //! the store, the other routers turn to it one after another, by their rank and
 //! the age of their proof. This needs no messages between them.
 SourceOptions
-MakeSourceOptions(const SourceView& aView, const ExchangePlan& aPlan);
+MakeSourceOptions(const SourceContext& aView, const ExchangePlan& aPlan);
 
 }
--- a/src/fleet/sourcepolicy.h
+++ b/src/fleet/sourceselector.h
@@ -18,37 +18,37 @@
   base::MakeEnumNames<SourceKind>("store", "router");
 
 //! A source from which a router gets the contents of the platform's store.
-struct NewsSource
+struct StoreSource
 {
   SourceKind kind = SourceKind::Store;
   base::Address address; //!< of the router; unused for the store
 
-  bool operator==(const NewsSource&) const = default;
+  bool operator==(const StoreSource&) const = default;
 };
 
 //! The sources that a router may use at present.
 struct SourceOptions
 {
   //! Sources in order of preference; never empty.
-  std::vector<NewsSource> order{ NewsSource{} };
+  std::vector<StoreSource> order{ StoreSource{} };
   //! No other router has a recent proof, and it is this router's turn to read
   //! the store itself.
-  bool takesOver = false;
+  bool shouldTakeOver = false;
   //! Index in order of the source that is known to have a newer proof.
-  std::optional<std::size_t> known;
-  //! Timeout for the first answer of a router, instead of kRouterSilent.
-  //! Without a value, kRouterSilent applies.
-  std::optional<Duration> patience;
+  std::optional<std::size_t> fresherIndex;
+  //! Timeout for the first answer of a router, instead of kRouterTimeout.
+  //! Without a value, kRouterTimeout applies.
+  std::optional<Duration> firstAnswerTimeout;
 };
 
 //! Selects the source from which this router gets the contents of the store. If
 //! the current source fails, the policy moves on to the next one, and returns
-//! to the first after kSourceRetry. A router that takes over reads the store
-//! for a while whatever the order of the sources is.
-class SourcePolicy
+//! to the first after kSourceRetryInterval. A router that takes over reads the
+//! store for a while whatever the order of the sources is.
+class SourceSelector
 {
 public:
-  SourcePolicy();
+  SourceSelector();
 
   //! Sets the permitted sources. Changes the current source if it isn't among
   //! them or is no longer the preferred one.
@@ -61,7 +61,7 @@
   void Pending(TimePoint aNow);
   //! Checks timeouts and proof ages. Returns true if the source has changed.
   bool Tick(TimePoint aNow);
-  const NewsSource& Current() const { return m_current; }
+  const StoreSource& Current() const { return m_current; }
   //! Whether the current source is the first in the order and was not selected
   //! by a takeover.
   bool IsPreferred() const { return !m_hasTakenOver && m_index == 0; }
@@ -69,18 +69,19 @@
 private:
   void SelectSource(std::size_t aIndex, TimePoint aNow);
   void TakeOver(TimePoint aNow);
-  void StartUsing(const NewsSource& aSource, TimePoint aNow);
+  void StartUsing(const StoreSource& aSource, TimePoint aNow);
   void MoveOn(TimePoint aNow);
   //! Whether the current source has not answered within its timeout.
   bool IsSilent(TimePoint aNow) const;
-  //! Whether the last proof of the current source is older than kSourceStale.
+  //! Whether the last proof of the current source is older than
+  //! kMaxSourceProofAge.
   bool IsStale(TimePoint aNow) const;
   //! Whether to change to the source that is known to have a newer proof.
-  bool IsBehindKnown(TimePoint aNow) const;
+  bool ShouldUseFresherSource(TimePoint aNow) const;
 
   SourceOptions m_options;
   bool m_hasStarted = false;
-  NewsSource m_current;
+  StoreSource m_current;
   std::size_t m_index = 0;
   bool m_hasTakenOver = false; //!< reads the store out of order
   //! Whether the store gave a recent proof after the last takeover.
@@ -92,7 +93,7 @@
   //! Proof age in the last answer; no value before the first one.
   std::optional<Duration> m_proofAge;
   //! Minimum time to keep a source whose proof is too old. Doubles with each
-  //! move to another source up to kSourceDwellMost, and is reset by a recent
+  //! move to another source up to kMaxSourceDwell, and is reset by a recent
   //! proof.
   Duration m_minDwell;
 };
--- a/src/fleet/newslog.h
+++ b/src/fleet/storechangelog.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fleet/news.h"
+#include "fleet/storeupdate.h"
 
 #include <cstdint>
 #include <deque>
@@ -12,11 +12,11 @@
 //! This router's copy of the store's contents and a log of its changes, from
 //! which other routers are kept up to date. Each change has a sequence number.
 //! A requester that missed more changes than the log holds gets the whole list.
-class NewsLog
+class StoreChangeLog
 {
 public:
   //! aLife is the incarnation of this router.
-  explicit NewsLog(std::uint64_t aLife);
+  explicit StoreChangeLog(std::uint64_t aLife);
 
   //! Stores the configuration if aVersion is newer than the stored one.
   void SetConfig(std::uint64_t aVersion, const std::string& aBytes);
@@ -29,11 +29,11 @@
   //! started and knows nothing yet from an empty store.
   bool IsKnown() const { return m_hasUpstreams; }
   //! Whether there is anything that the requester doesn't have.
-  bool HasNews(const NewsAsk& aAsk) const;
+  bool HasUpdateFor(const StoreUpdateRequest& aAsk) const;
   //! Whether the requester needs the whole upstream list: the log doesn't
   //! reach back to its state, and its digest differs. A requester that changes
   //! its source usually has the same list already.
-  bool WantsAll(const NewsAsk& aAsk) const;
+  bool NeedsFullList(const StoreUpdateRequest& aAsk) const;
   //! Digest of the upstream list, equal at all routers that have the same list.
   //! 0: the list is not known yet.
   std::uint64_t Digest() const;
@@ -41,10 +41,10 @@
   std::uint64_t Sequence() const { return m_sequence; }
   //! Returns the whole upstream list as an unproven answer that doesn't depend
   //! on the requester.
-  News All() const;
+  StoreUpdate FullList() const;
   //! Answers aAsk. aProofAge is the time since the store confirmed the state
   //! of this log.
-  News Answer(const NewsAsk& aAsk, Duration aProofAge) const;
+  StoreUpdate Answer(const StoreUpdateRequest& aAsk, Duration aProofAge) const;
 
 private:
   struct Change
@@ -53,7 +53,7 @@
     std::string id; //!< of the upstream; empty: the evacuations changed
   };
 
-  bool CoversSince(const NewsAsk& aAsk) const;
+  bool CoversSince(const StoreUpdateRequest& aAsk) const;
   void LogChange(const std::string& aId);
   std::vector<UpstreamEntry> AllEntries() const;
 
--- a/src/fleet/storeera.h
+++ b/src/fleet/storeera.h
@@ -16,18 +16,18 @@
 public:
   //! Takes the era of an answer of the store. Returns false if it is earlier
   //! than the known era.
-  bool Seen(std::uint64_t aEra, TimePoint aNow);
+  bool Observe(std::uint64_t aEra, TimePoint aNow);
   //! Takes the era that another router saw begin aAge ago.
-  void Told(std::uint64_t aEra, Duration aAge, TimePoint aNow);
+  void Learn(std::uint64_t aEra, Duration aAge, TimePoint aNow);
 
   //! The known era, or 0.
   std::uint64_t Era() const { return m_era.value_or(0); }
-  //! Time at which lost writes have been repeated: kRewriteGrace after the
-  //! start of the era.
+  //! Time at which lost writes have been repeated: kRewriteGracePeriod after
+  //! the start of the era.
   TimePoint SettledAt() const;
   bool IsSettled(TimePoint aNow) const { return aNow >= SettledAt(); }
   //! Time since the era was seen to begin. No value if that was more than
-  //! kEraTold ago, or before this router started.
+  //! kEraReportTime ago, or before this router started.
   std::optional<Duration> Age(TimePoint aNow) const;
 
 private:
--- a/src/fleet/suitability.h
+++ b/src/fleet/suitability.h
@@ -39,7 +39,7 @@
 //! Whether other upstreams may copy prefixes from this one. This includes one
 //! that gets no requests now because it is cold or was already tried.
 inline bool
-IsWorkable(Suitability aSuitability)
+CanProvideCopies(Suitability aSuitability)
 {
   return aSuitability == Suitability::Fits ||
          aSuitability == Suitability::Tried ||
@@ -50,14 +50,14 @@
 //! of its workspace. If both are restricted, both must allow the zone's region.
 //! A zone without a known region is allowed only for unrestricted requests.
 bool
-MayRunIn(const std::map<std::string, std::string>& aRegionOfZone,
-         const std::string& aZone,
-         const PlaceRequest& aRequest);
+IsRegionAllowed(const std::map<std::string, std::string>& aRegionOfZone,
+                const std::string& aZone,
+                const PlaceRequest& aRequest);
 
 //! Returns when a request that found no upstream should be retried.
 //! aSuitability: the greatest over all upstreams; aUntilWarm: time until the
 //! first cold upstream is warm.
 Duration
-RetryAfterFor(Suitability aSuitability, Duration aUntilWarm);
+NoUpstreamRetryAfter(Suitability aSuitability, Duration aUntilWarm);
 
 }
--- a/src/fleet/tests/busyroutermodel.cpp
+++ b/src/fleet/tests/busyroutermodel.cpp
@@ -1,8 +1,8 @@
 #include "busyroutermodel.h"
 
+#include "fleet/acceptqueuelimit.h"
 #include "fleet/admission.h"
 #include "fleet/fleetconstants.h"
-#include "fleet/queuelimit.h"
 
 #include <algorithm>
 #include <cmath>
@@ -68,7 +68,7 @@
 void
 BusyRouterModel::Connect(Caller aCaller)
 {
-  if (m_acceptQueue.size() < QueueLimit(m_load.processorShare)) {
+  if (m_acceptQueue.size() < AcceptQueueLimit(m_load.processorShare)) {
     m_acceptQueue.push_back(aCaller);
     return;
   }
@@ -144,7 +144,7 @@
       continue;
     }
     caller.wasRefused = true;
-    m_arrivals.emplace(m_now + kRetryAfterLeast.count() * kMicrosPerMilli,
+    m_arrivals.emplace(m_now + kMinRetryAfter.count() * kMicrosPerMilli,
                        caller);
   }
 }
--- a/src/fleet/tests/coretests.cpp
+++ b/src/fleet/tests/coretests.cpp
@@ -14,7 +14,7 @@
   const auto first = fixture.Place(fixture.MakeRequest(7));
   cr_assert(first.missingTokens == kPromptTokens);
   fixture.now += 300ms;
-  fixture.fleet.FirstToken(first.attempt, fixture.now);
+  fixture.fleet.RecordFirstToken(first.attempt, fixture.now);
   const auto second = fixture.Place(fixture.MakeRequest(7));
   cr_assert(second.upstream == first.upstream);
   cr_assert(second.missingTokens == double{ kPromptTokens } / 2);
@@ -28,9 +28,9 @@
   fixture.ListUpstreams(8);
   const auto first = fixture.Place(fixture.MakeRequest(7));
   fixture.now += 300ms;
-  fixture.fleet.FirstToken(first.attempt, fixture.now);
+  fixture.fleet.RecordFirstToken(first.attempt, fixture.now);
   for (int i = 0; i < 200; ++i) {
-    fixture.now += kReportPeriod;
+    fixture.now += kReportInterval;
     fixture.fleet.Tick(fixture.now);
   }
   const auto second = fixture.Place(fixture.MakeRequest(7));
@@ -43,14 +43,14 @@
   fixture.ListUpstreams(2);
   PeerReport report;
   report.router = "r2";
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 1;
   report.loads = { { UpstreamIdOf("u0"), 50000, 20 } };
-  fixture.fleet.Take(report, fixture.now);
+  fixture.fleet.ApplyReport(report, fixture.now);
   for (std::uint64_t i = 0; i < 10; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u1");
-    fixture.fleet.FirstToken(place.attempt, fixture.now + 100ms);
+    fixture.fleet.RecordFirstToken(place.attempt, fixture.now + 100ms);
   }
 }
 
@@ -60,10 +60,10 @@
   fixture.ListUpstreams(8);
   PeerReport report;
   report.router = "r2";
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 1;
-  report.uses = { { 7, UpstreamIdOf("u3") } };
-  fixture.fleet.Take(report, fixture.now);
+  report.prefixUses = { { 7, UpstreamIdOf("u3") } };
+  fixture.fleet.ApplyReport(report, fixture.now);
   const auto place = fixture.Place(fixture.MakeRequest(7, "w", 8000));
   cr_assert(place.upstreamId == "u3");
   cr_assert(place.missingTokens == 4000);
@@ -114,38 +114,40 @@
   fleet.SetConfig(MakeConfig(7));
   PeerReport report;
   report.router = "r2";
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 1;
   report.configVersion = 7;
   report.configAge = 40ms;
-  fleet.Take(report, fixture.now);
+  fleet.ApplyReport(report, fixture.now);
   cr_assert(!fleet.ConfigFreshness().MayUseKeys(fixture.now));
   report.sequence = 2;
   report.heard = {
     { base::RouterId(base::HashName("r1")), 1, fixture.now - 200ms }
   };
   // The datagram may have been delayed: only the echoed send time counts.
-  fleet.Take(report, fixture.now + 3000ms);
+  fleet.ApplyReport(report, fixture.now + 3000ms);
   cr_assert(fleet.ConfigFreshness().ProvenAt() == fixture.now - 240ms);
   report.sequence = 3;
   report.configVersion = 6;
   report.heard[0].sentAt = fixture.now + 2000ms;
-  fleet.Take(report, fixture.now + 3000ms);
+  fleet.ApplyReport(report, fixture.now + 3000ms);
   cr_assert(fleet.ConfigFreshness().ProvenAt() == fixture.now - 240ms);
 }
 
 Test(core, TheBusyRatioCoversTheRoutersOfAllReports)
 {
   FleetFixture fixture;
-  cr_assert(fixture.fleet.Tell(kBusyAfter + 1ms, fixture.now).busy == 1);
-  cr_assert(fixture.fleet.Tell(0ms, fixture.now).busy == 0);
+  cr_assert(
+    fixture.fleet.MakeReport(kBusyThreshold + 1ms, fixture.now).busyRouters ==
+    1);
+  cr_assert(fixture.fleet.MakeReport(0ms, fixture.now).busyRouters == 0);
   PeerReport report;
   report.router = "another";
   report.sequence = 1;
-  report.routers = 7;
-  report.busy = 1;
-  fixture.fleet.Take(report, fixture.now);
-  cr_assert(fixture.fleet.BusyPart() == 0.25);
+  report.routerCount = 7;
+  report.busyRouters = 1;
+  fixture.fleet.ApplyReport(report, fixture.now);
+  cr_assert(fixture.fleet.BusyRatio() == 0.25);
 }
 
 //! Prefix uses that a router recorded before it became a hub are too old to
@@ -155,15 +157,15 @@
   FleetFixture fixture;
   fixture.ListUpstreams(2);
   fixture.Place(fixture.MakeRequest(7));
-  auto own = fixture.fleet.Tell(0ms, fixture.now);
-  cr_assert(own.uses.size() == 1);
+  auto own = fixture.fleet.MakeReport(0ms, fixture.now);
+  cr_assert(own.prefixUses.size() == 1);
   ExchangePlan plan;
   plan.group = 5;
   plan.groupHubs = { { "10.0.0.1", 1 } };
   plan.followers = { { "10.0.0.2", 1 } };
   fixture.fleet.SetPlan(plan);
-  own = fixture.fleet.Tell(0ms, fixture.now);
-  cr_assert(fixture.fleet.TellFleet(own, fixture.now).uses.empty());
+  own = fixture.fleet.MakeReport(0ms, fixture.now);
+  cr_assert(fixture.fleet.MakeFleetReport(own, fixture.now).prefixUses.empty());
 }
 
 //! Sums are sent some time after the report that they are made from. Their ages
@@ -171,13 +173,13 @@
 Test(core, TheAgesOfASumIncludeTheTimeSinceItsReport)
 {
   FleetFixture fixture;
-  fixture.fleet.ConfigFreshness().Proven(fixture.now - 30ms);
-  auto own = fixture.fleet.Tell(0ms, fixture.now);
+  fixture.fleet.ConfigFreshness().RecordProof(fixture.now - 30ms);
+  auto own = fixture.fleet.MakeReport(0ms, fixture.now);
   own.readerAge = 200ms;
   const auto later = fixture.now + 60ms;
-  for (const auto& sum : { fixture.fleet.TellGroup(own, later),
-                           fixture.fleet.TellZone(own, later),
-                           fixture.fleet.TellFleet(own, later) }) {
+  for (const auto& sum : { fixture.fleet.MakeGroupReport(own, later),
+                           fixture.fleet.MakeZoneReport(own, later),
+                           fixture.fleet.MakeFleetReport(own, later) }) {
     cr_assert(own.configAge == 30ms && sum.configAge == 90ms);
     cr_assert(sum.readerAge == 260ms);
     cr_assert(sum.sentAt == later);
--- a/src/fleet/tests/crashingfleet.cpp
+++ b/src/fleet/tests/crashingfleet.cpp
@@ -68,7 +68,7 @@
     entries.push_back(entry);
   }
   aFleet.Upstreams().Replace(entries, Now());
-  aFleet.FollowUpstreams(Now());
+  aFleet.UpdateUpstreams(Now());
 }
 
 void
@@ -111,10 +111,11 @@
 {
   auto& fleet = m_routers.At(aRouter);
   for (const auto& check : fleet.UpstreamsToCheck(Now())) {
-    fleet.Checked(check.upstream,
-                  IsAlive(check.upstream) ? quarantine::CheckResult::Lives
-                                          : quarantine::CheckResult::Crashed,
-                  Now());
+    fleet.RecordCheck(check.upstream,
+                      IsAlive(check.upstream)
+                        ? quarantine::CheckResult::Alive
+                        : quarantine::CheckResult::Crashed,
+                      Now());
   }
   m_routers.Schedule(Now() + kCheckInterval,
                      [this, aRouter] { CheckUpstreams(aRouter); });
@@ -153,7 +154,7 @@
   request.key = ++m_requestCount;
   request.fingerprint = aRun.request;
   request.timeLeft = Duration(4000);
-  request.avoid = aRun.tried;
+  request.triedUpstreams = aRun.tried;
   request.admitted = !aRun.tried.empty();
   const auto place = m_routers.At(aRun.router).Place(request, Now());
   if (place.outcome != PlaceOutcome::Placed) {
@@ -168,7 +169,7 @@
   aRun.tried.push_back(place.upstream);
   if (!IsAlive(place.upstream)) {
     m_routers.At(aRun.router)
-      .Ended(aRun.attempt, AttemptEnd::Unreachable, Now());
+      .EndAttempt(aRun.attempt, AttemptOutcome::Unreachable, Now());
     Send(aRun); // never sent, so it is retried elsewhere at once
     return;
   }
@@ -195,7 +196,8 @@
     return;
   }
   m_served++;
-  m_routers.At(aRun->router).Ended(aRun->attempt, AttemptEnd::Answered, Now());
+  m_routers.At(aRun->router)
+    .EndAttempt(aRun->attempt, AttemptOutcome::Answered, Now());
   m_running.erase(aRun);
 }
 
@@ -232,7 +234,8 @@
 void
 CrashingFleet::HandleBroken(const RunningAttempt& aRun)
 {
-  m_routers.At(aRun.router).Ended(aRun.attempt, AttemptEnd::Broken, Now());
+  m_routers.At(aRun.router)
+    .EndAttempt(aRun.attempt, AttemptOutcome::Broken, Now());
   if (aRun.tried.size() < kMaxAttempts) {
     Send(aRun);
   } else if (!aRun.crashes) {
--- a/src/fleet/tests/crashingrequesttests.cpp
+++ b/src/fleet/tests/crashingrequesttests.cpp
@@ -157,14 +157,14 @@
   fleet.SubmitCrashing(0, kCrashing);
   fleet.Run(6000ms);
   cr_assert(fleet.CrashingSends().size() == sends);
-  fleet.Run(5000ms + kQuarantineTime);
+  fleet.Run(5000ms + kQuarantineDuration);
   fleet.SubmitCrashing(1, kCrashing);
-  fleet.Run(6000ms + kQuarantineTime);
+  fleet.Run(6000ms + kQuarantineDuration);
   const auto tried = fleet.CrashingSends().size();
   cr_assert(tried > sends);
   for (std::size_t router = 0; router < 3; ++router) {
     fleet.SubmitCrashing(router, kCrashing);
   }
-  fleet.Run(9000ms + kQuarantineTime);
+  fleet.Run(9000ms + kQuarantineDuration);
   cr_assert(fleet.CrashingSends().size() == tried);
 }
--- a/src/fleet/tests/entitlementtests.cpp
+++ b/src/fleet/tests/entitlementtests.cpp
@@ -20,7 +20,8 @@
   request.work = &none;
   request.service = "plain";
   auto place = aFixture.Place(request);
-  aFixture.fleet.Ended(place.attempt, AttemptEnd::Answered, aFixture.now);
+  aFixture.fleet.EndAttempt(
+    place.attempt, AttemptOutcome::Answered, aFixture.now);
   return place;
 }
 
@@ -44,8 +45,9 @@
       total[workspace]++;
       refused[workspace] += place.outcome == PlaceOutcome::Refused ? 1 : 0;
       if (place.outcome == PlaceOutcome::Placed) {
-        fixture.fleet.FirstToken(place.attempt, fixture.now + 90ms);
-        fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+        fixture.fleet.RecordFirstToken(place.attempt, fixture.now + 90ms);
+        fixture.fleet.EndAttempt(
+          place.attempt, AttemptOutcome::Answered, fixture.now);
       }
     }
   }
@@ -76,10 +78,10 @@
     for (int i = 0; i < 5; ++i) {
       const auto place = fixture.Place(fixture.MakeRequest(
         static_cast<std::uint64_t>(step % 7), light ? "light" : "flood"));
-      cr_assert(place.insidePromise);
+      cr_assert(place.insideNominalShare);
       cr_assert(!light || place.insideShare);
       beyondShare += place.insideShare ? 0 : 1;
-      cr_assert(!PlacePlainCall(fixture, "flood").insidePromise ||
+      cr_assert(!PlacePlainCall(fixture, "flood").insideNominalShare ||
                 place.insideShare);
       engines.Begin(place, fixture.now);
     }
@@ -126,8 +128,9 @@
   fixture.ListUpstreams(8);
   for (int i = 0; i < 300; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(7, "flood", 200));
-    fixture.fleet.FirstToken(place.attempt, fixture.now);
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.RecordFirstToken(place.attempt, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
     fixture.now += 20ms;
     fixture.fleet.Tick(fixture.now);
   }
@@ -135,7 +138,7 @@
   flood.busyFor = 300ms;
   const auto refused = fixture.Place(flood);
   cr_assert(refused.outcome == PlaceOutcome::Refused && refused.routerBusy);
-  cr_assert(refused.retryAfter == kRetryAfterLeast,
+  cr_assert(refused.retryAfter == kMinRetryAfter,
             "a retry may reach another router at once");
   auto other = fixture.MakeRequest(7, "quiet", 200);
   other.busyFor = 300ms;
@@ -160,14 +163,14 @@
   const auto takeFleetSum = [&](std::uint64_t aSequence) {
     PeerReport report;
     report.router = "hub";
-    report.life = 1;
+    report.incarnation = 1;
     report.sequence = aSequence;
     report.scope = ReportScope::Fleet;
-    report.reading = 1000000;
+    report.prefillDemand = 1000000;
     report.rates = { { WorkspaceIdOf("best"), { 900000, 500000 } },
                      { WorkspaceIdOf("behind"), { 900000, 100000 } },
                      { WorkspaceIdOf("half"), { 900000, 350000 } } };
-    fixture.fleet.Take(report, fixture.now);
+    fixture.fleet.ApplyReport(report, fixture.now);
     fixture.fleet.Tick(fixture.now);
   };
   takeFleetSum(1);
@@ -175,9 +178,10 @@
   int half = 0;
   for (int i = 0; i < 20; ++i) {
     behind +=
-      fixture.Place(fixture.MakeRequest(7, "behind", 100)).passesLevel ? 1 : 0;
+      fixture.Place(fixture.MakeRequest(7, "behind", 100)).passesThrottle ? 1
+                                                                          : 0;
     half +=
-      fixture.Place(fixture.MakeRequest(7, "half", 100)).passesLevel ? 1 : 0;
+      fixture.Place(fixture.MakeRequest(7, "half", 100)).passesThrottle ? 1 : 0;
   }
   cr_assert(behind == 20, "only %d of 20 pass the throttle", behind);
   cr_assert(half < 20, "all %d pass the throttle", half);
@@ -199,12 +203,12 @@
   fixture.fleet.Tick(fixture.now);
   int passed = 0;
   for (std::uint64_t i = 0; i < 20; ++i) {
-    passed += fixture.Place(fixture.MakeRequest(i)).passesLevel ? 1 : 0;
+    passed += fixture.Place(fixture.MakeRequest(i)).passesThrottle ? 1 : 0;
   }
   cr_assert(passed < 20, "all %d pass the throttle", passed);
   fixture.fleet.SetConfig(MakeConfig(3));
   fixture.fleet.Tick(fixture.now);
   for (std::uint64_t i = 0; i < 20; ++i) {
-    cr_assert(fixture.Place(fixture.MakeRequest(i)).passesLevel);
+    cr_assert(fixture.Place(fixture.MakeRequest(i)).passesThrottle);
   }
 }
--- a/src/fleet/tests/evacuationtests.cpp
+++ b/src/fleet/tests/evacuationtests.cpp
@@ -1,4 +1,4 @@
-#include "fleet/newslog.h"
+#include "fleet/storechangelog.h"
 #include "fleetfixture.h"
 
 #include <criterion/criterion.h>
@@ -26,14 +26,14 @@
     entries.push_back(entry);
   }
   aFixture.fleet.Upstreams().Replace(entries, aFixture.now);
-  aFixture.fleet.FollowUpstreams(aFixture.now);
+  aFixture.fleet.UpdateUpstreams(aFixture.now);
 }
 
 void
 Evacuate(FleetFixture& aFixture, const std::string& aZone)
 {
   aFixture.fleet.Evacuated().Put({ aZone, 7 }, aFixture.now);
-  aFixture.fleet.FollowUpstreams(aFixture.now);
+  aFixture.fleet.UpdateUpstreams(aFixture.now);
 }
 
 void
@@ -41,7 +41,7 @@
 {
   aFixture.fleet.Evacuated().Remove(aZone);
   aFixture.fleet.Evacuated().Proven(aFixture.now);
-  aFixture.fleet.FollowUpstreams(aFixture.now);
+  aFixture.fleet.UpdateUpstreams(aFixture.now);
 }
 
 std::string
@@ -110,20 +110,20 @@
 
 Test(storechangelog, EvacuationsAreSentToKnownAndNewFollowers)
 {
-  NewsLog log(7);
+  StoreChangeLog log(7);
   log.SetUpstreams({});
   const auto first = log.Answer({}, 0ms);
   cr_assert(first.evacuations && first.evacuations->empty());
   log.SetEvacuations({ { "zone-a", 5 } });
-  const NewsAsk follower{ first.life, first.sequence, 0 };
-  cr_assert(log.HasNews(follower));
+  const StoreUpdateRequest follower{ first.incarnation, first.sequence, 0 };
+  cr_assert(log.HasUpdateFor(follower));
   const auto second = log.Answer(follower, 0ms);
   cr_assert(second.evacuations->at(0).zone == "zone-a");
   cr_assert(second.removed.empty());
   cr_assert(log.Answer({}, 0ms).evacuations->size() == 1);
-  cr_assert(!log.HasNews({ second.life, second.sequence, 0 }));
+  cr_assert(!log.HasUpdateFor({ second.incarnation, second.sequence, 0 }));
   log.SetEvacuations({});
-  cr_assert(log.HasNews({ second.life, second.sequence, 0 }));
+  cr_assert(log.HasUpdateFor({ second.incarnation, second.sequence, 0 }));
 }
 
 //! Covers first attempts, retries and requests without a prompt.
@@ -139,7 +139,8 @@
     const auto place = fixture.Place(request);
     cr_assert(place.outcome == PlaceOutcome::Placed);
     cr_assert(ZoneOf(fixture, place.upstreamId) != "zone-b");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
 }
 
@@ -150,9 +151,9 @@
   fixture.ListUpstreams(1);
   const auto place = fixture.Place(fixture.MakeRequest(7));
   Evacuate(fixture, "zone-a");
-  fixture.fleet.FirstToken(place.attempt, fixture.now);
-  cr_assert(
-    !fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now));
+  fixture.fleet.RecordFirstToken(place.attempt, fixture.now);
+  cr_assert(!fixture.fleet.EndAttempt(
+    place.attempt, AttemptOutcome::Answered, fixture.now));
   cr_assert(fixture.fleet.Status(fixture.now).at(0).running == 0);
   cr_assert(fixture.fleet.Status(fixture.now).at(0).evacuated);
 }
@@ -168,7 +169,7 @@
   const auto place = fixture.Place(fixture.MakeRequest(7));
   cr_assert(place.outcome == PlaceOutcome::NoUpstream);
   cr_assert(place.suitability == Suitability::Evacuated);
-  cr_assert(place.retryAfter == kNoUpstreamWaitMost);
+  cr_assert(place.retryAfter == kMaxNoUpstreamRetryAfter);
   Restore(fixture, "zone-c");
   const auto placed = fixture.Place(fixture.MakeRequest(7));
   cr_assert(placed.outcome == PlaceOutcome::Placed);
@@ -187,7 +188,8 @@
     const auto place = fixture.Place(fixture.MakeRequest(i));
     if (place.outcome == PlaceOutcome::Placed) {
       cr_assert(ZoneOf(fixture, place.upstreamId) == "zone-c");
-      fixture.fleet.Ended(place.attempt, AttemptEnd::Unreachable, fixture.now);
+      fixture.fleet.EndAttempt(
+        place.attempt, AttemptOutcome::Unreachable, fixture.now);
     }
   }
 }
@@ -197,7 +199,7 @@
   FleetFixture fixture;
   ListUpstreamsOfZones(fixture);
   Evacuate(fixture, "zone-x");
-  cr_assert(fixture.fleet.UpstreamsOfZone("zone-x") == 0);
+  cr_assert(fixture.fleet.CountUpstreamsInZone("zone-x") == 0);
   cr_assert(fixture.Place(fixture.MakeRequest(7)).outcome ==
             PlaceOutcome::Placed);
 }
@@ -211,7 +213,8 @@
   for (std::uint64_t i = 0; i < 30; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(ZoneOf(fixture, place.upstreamId) != "zone-b");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
 }
 
@@ -221,13 +224,13 @@
   FleetFixture fixture;
   auto config = std::make_shared<FleetConfig>(*MakeConfig(2));
   auto& service = config->services["engines"];
-  service.memoryTokens = 200000;
-  service.bytesPerToken = 1000;
+  service.kvCacheTokens = 200000;
+  service.kvBytesPerToken = 1000;
   service.copyMbps = 400000;
   fixture.fleet.SetConfig(config);
   ListUpstreamsOfZones(fixture);
   const auto first = fixture.Place(fixture.MakeRequest(7, "w", 12000));
-  fixture.fleet.FirstToken(first.attempt, fixture.now);
+  fixture.fleet.RecordFirstToken(first.attempt, fixture.now);
   Evacuate(fixture, ZoneOf(fixture, first.upstreamId));
   const auto second = fixture.Place(fixture.MakeRequest(7, "w", 12000));
   cr_assert(second.outcome == PlaceOutcome::Placed);
--- a/src/fleet/tests/exchangetests.cpp
+++ b/src/fleet/tests/exchangetests.cpp
@@ -65,7 +65,7 @@
 
   void Step()
   {
-    now += kReportPeriod;
+    now += kReportInterval;
     for (auto& router : routers) {
       if (router->alive) {
         SendReports(*router);
@@ -100,49 +100,49 @@
     aRouter.view.SetRole(plan.isHub, plan.group);
     PeerReport own;
     own.router = aRouter.name;
-    own.life = 1;
+    own.incarnation = 1;
     own.sequence = ++aRouter.sequence;
     own.sentAt = now;
     own.zone = aRouter.zone;
     own.group = plan.group;
     own.heard = aRouter.view.Heard();
     own.loads = { { UpstreamId(1), 10, 1 } };
-    if (own.sequence % kMembersEvery == 0) {
-      own.members = aRouter.members.Known(now);
+    if (own.sequence % kReportsPerMemberList == 0) {
+      own.members = aRouter.members.Members(now);
     }
-    own.crashNews = aRouter.quarantine.TellNews(now);
-    if (own.sequence % kQuarantineEvery == 0) {
-      own.crashNews = aRouter.quarantine.TellInTurn(now);
+    own.crashUpdates = aRouter.quarantine.TakeUnreportedCrashes(now);
+    if (own.sequence % kReportsPerQuarantineList == 0) {
+      own.crashUpdates = aRouter.quarantine.NextCrashRefresh(now);
     }
-    aRouter.view.Sent(own);
-    Send(aRouter, own, plan.tell);
-    if (plan.SumsUp()) {
-      Send(aRouter, aRouter.view.GroupSum(own, now), plan.hubs);
+    aRouter.view.RecordSent(own);
+    Send(aRouter, own, plan.reportTargets);
+    if (plan.AggregatesReports()) {
+      Send(aRouter, aRouter.view.GroupSum(own, now), plan.otherGroupHubs);
       SendZoneSum(aRouter, plan, own);
-      if (plan.TellsFollowers(
-            static_cast<std::uint64_t>(now / kReportPeriod))) {
+      if (plan.SendsFleetSum(
+            static_cast<std::uint64_t>(now / kReportInterval))) {
         Send(aRouter, aRouter.view.FleetSum(own, now), plan.followers);
       }
     }
     auto greeting = own;
     greeting.wantsMembers = true;
-    Send(aRouter, greeting, aRouter.members.SeedsToTell(now));
+    Send(aRouter, greeting, aRouter.members.SeedsToContact(now));
   }
 
   void SendZoneSum(Router& aRouter,
                    const ExchangePlan& aPlan,
                    const PeerReport& aOwn)
   {
-    aRouter.relays = aPlan.relays;
-    if (!aPlan.Speaks(aOwn.sequence)) {
+    aRouter.relays = aPlan.zoneHubs;
+    if (!aPlan.SendsZoneSum(aOwn.sequence)) {
       return;
     }
     auto sum = aRouter.view.ZoneSum(aOwn, now);
     sum.members.clear();
-    if (aOwn.sequence / aPlan.speakers % kZoneMembersEvery == 0) {
-      sum.members = aRouter.members.KnownOfZone(aRouter.zone, now);
+    if (aOwn.sequence / aPlan.speakerCount % kZoneSumsPerMemberList == 0) {
+      sum.members = aRouter.members.MembersOfZone(aRouter.zone, now);
     }
-    const auto contacts = aPlan.ZoneContacts(aOwn.sequence);
+    const auto contacts = aPlan.ZoneSumTargets(aOwn.sequence);
     crossZoneSums += static_cast<int>(contacts.size());
     Send(aRouter, sum, contacts);
   }
@@ -167,10 +167,10 @@
   {
     aTo.receivedDatagrams++;
     if (!aReport.relayed) {
-      aTo.members.Heard(aFrom.address, aReport.zone, now);
+      aTo.members.RecordReport(aFrom.address, aReport.zone, now);
     }
-    aTo.members.Learn(aReport.members, now);
-    aTo.quarantine.Take(aReport.crashNews, now);
+    aTo.members.MergeMembers(aReport.members, now);
+    aTo.quarantine.Take(aReport.crashUpdates, now);
     const bool taken = aTo.view.Take(aReport, now);
     if (taken && aReport.scope == ReportScope::Zone && !aReport.relayed) {
       auto relayed = aReport;
@@ -178,8 +178,8 @@
       Send(aTo, relayed, aTo.relays);
     }
     if (aReport.wantsMembers) {
-      aFrom.members.Heard(aTo.address, aTo.zone, now);
-      aFrom.members.Learn(aTo.members.Known(now), now);
+      aFrom.members.RecordReport(aTo.address, aTo.zone, now);
+      aFrom.members.MergeMembers(aTo.members.Members(now), now);
     }
   }
 
@@ -197,7 +197,7 @@
     cr_assert(net.RunningElsewhere(*router) == 6,
               "%u running elsewhere",
               net.RunningElsewhere(*router));
-    cr_assert(router->view.Routers() == 6);
+    cr_assert(router->view.RouterCount() == 6);
   }
 }
 
@@ -247,7 +247,7 @@
   net.Steps(60);
   for (auto& router : net.routers) {
     const auto plan = router->members.Plan(net.now);
-    if (!plan.otherZones.empty() && plan.speaker == 0) {
+    if (!plan.otherZones.empty() && plan.speakerIndex == 0) {
       router->alive = false;
       break;
     }
@@ -267,14 +267,14 @@
 //! all bytes.
 Test(exchange, TheHubsOfAGroupTakeTurns)
 {
-  for (std::size_t hubs = 1; hubs <= kHubsOfGroup; ++hubs) {
+  for (std::size_t hubs = 1; hubs <= kHubsPerGroup; ++hubs) {
     for (std::uint64_t period = 0; period < 10; ++period) {
       int sending = 0;
       for (std::size_t rank = 0; rank < hubs; ++rank) {
         ExchangePlan plan;
         plan.groupHubs.resize(hubs);
         plan.hubRank = rank;
-        sending += plan.TellsFollowers(period) ? 1 : 0;
+        sending += plan.SendsFleetSum(period) ? 1 : 0;
       }
       cr_assert(sending == 1);
     }
@@ -325,7 +325,7 @@
   for (const auto& router : net.routers) {
     if (router->alive) {
       cr_assert(router->members.Alive(net.now) == 6);
-      cr_assert(router->members.Known(net.now).size() == 5);
+      cr_assert(router->members.Members(net.now).size() == 5);
     }
   }
 }
@@ -354,7 +354,7 @@
     }
   }
   for (const auto& [group, names] : hubs) {
-    cr_assert(names.size() == kHubsOfGroup);
+    cr_assert(names.size() == kHubsPerGroup);
   }
 }
 
@@ -411,17 +411,17 @@
   report.sequence = 1;
   report.scope = ReportScope::Zone;
   report.zone = 3;
-  report.routers = 3;
+  report.routerCount = 3;
   report.loadAge = 80ms;
   const TimePoint now(50000);
   hub.Take(report, now);
   hub.Forget(now);
-  cr_assert(hub.NewsAge(now + 20ms) == 100ms);
+  cr_assert(hub.MeanLoadAge(now + 20ms) == 100ms);
   PeerReport own;
   own.router = "hub";
   own.sentAt = now + 20ms;
   const auto sum = hub.FleetSum(own, now + 20ms);
-  cr_assert(sum.routers == 4 && sum.loadAge == 75ms,
+  cr_assert(sum.routerCount == 4 && sum.loadAge == 75ms,
             "mean of three routers at 100 ms and one at 0 ms");
 }
 
@@ -436,14 +436,15 @@
     net.lossRatio = 0.1;
     for (std::uint32_t i = 0; i < quarantine::kCrashesToQuarantine; ++i) {
       auto& witness = *net.routers.at(static_cast<std::size_t>(size) - 1 - i);
-      witness.quarantine.Crashed(kCrashing, UpstreamId(100 + i), net.now);
+      witness.quarantine.RecordCrash(kCrashing, UpstreamId(100 + i), net.now);
     }
     net.Steps(10);
     for (const auto& router : net.routers) {
-      cr_assert(router->quarantine.HeldFor(kCrashing, 0, net.now).has_value(),
-                "%s of %d routers does not quarantine the request",
-                router->name.c_str(),
-                size);
+      cr_assert(
+        router->quarantine.RefusedFor(kCrashing, 0, net.now).has_value(),
+        "%s of %d routers does not quarantine the request",
+        router->name.c_str(),
+        size);
     }
   }
 }
@@ -460,12 +461,13 @@
     lateRouter.alive = false;
     net.Steps(60);
     for (std::uint32_t i = 0; i < quarantine::kCrashesToQuarantine; ++i) {
-      net.routers.front()->quarantine.Crashed(
+      net.routers.front()->quarantine.RecordCrash(
         kCrashing, UpstreamId(100 + i), net.now);
     }
     net.Steps(100);
     lateRouter.alive = true;
     net.Steps(25);
-    cr_assert(lateRouter.quarantine.HeldFor(kCrashing, 0, net.now).has_value());
+    cr_assert(
+      lateRouter.quarantine.RefusedFor(kCrashing, 0, net.now).has_value());
   }
 }
--- a/src/fleet/tests/fleetfixture.h
+++ b/src/fleet/tests/fleetfixture.h
@@ -19,7 +19,7 @@
 {
   auto config = std::make_shared<FleetConfig>();
   config->version = aVersion;
-  config->tokensPerSecond = aTokensPerSecond;
+  config->nominalTokensPerSecond = aTokensPerSecond;
   Service service;
   service.name = "engines";
   service.engineSlots = 64;
@@ -36,7 +36,7 @@
   FleetSettings settings;
   settings.router = "r1";
   settings.zone = "zone-a";
-  settings.life = 1;
+  settings.incarnation = 1;
   return settings;
 }
 
@@ -66,7 +66,7 @@
       entries.push_back(entry);
     }
     fleet.Upstreams().Replace(entries, now);
-    fleet.FollowUpstreams(now);
+    fleet.UpdateUpstreams(now);
   }
 
   //! Lists the engine u0 with this start time.
@@ -79,7 +79,7 @@
     entry.zone = "zone-a";
     entry.startedAt = aStartedAt;
     fleet.Upstreams().Put(entry);
-    fleet.FollowUpstreams(now);
+    fleet.UpdateUpstreams(now);
   }
 
   //! Makes a request whose prompt is half a shared prefix, half unique. It
@@ -106,7 +106,7 @@
   //! Counts the request's arrival and places it.
   PlaceResult Place(const PlaceRequest& aRequest)
   {
-    fleet.Arrived(aRequest, now);
+    fleet.CountArrival(aRequest, now);
     return fleet.Place(aRequest, now);
   }
 
@@ -132,7 +132,7 @@
     if (aPlace.outcome != PlaceOutcome::Placed) {
       return;
     }
-    const auto wait = Duration(static_cast<std::int64_t>(aPlace.foreseenMs));
+    const auto wait = Duration(static_cast<std::int64_t>(aPlace.predictedMs));
     m_prefills.emplace_back(aNow + wait + m_delay, aPlace.attempt);
   }
 
@@ -143,8 +143,9 @@
       if (aPrefill.first > aFixture.now) {
         return false;
       }
-      aFixture.fleet.FirstToken(aPrefill.second, aFixture.now);
-      aFixture.fleet.Ended(aPrefill.second, AttemptEnd::Answered, aFixture.now);
+      aFixture.fleet.RecordFirstToken(aPrefill.second, aFixture.now);
+      aFixture.fleet.EndAttempt(
+        aPrefill.second, AttemptOutcome::Answered, aFixture.now);
       return true;
     });
   }
--- a/src/fleet/tests/fleettests.cpp
+++ b/src/fleet/tests/fleettests.cpp
@@ -103,14 +103,14 @@
 Test(fairshare, TheShareIsMaxMinFair)
 {
   WorkspaceRates rates;
-  rates[WorkspaceId(1)].asked = 10;
-  rates[WorkspaceId(2)].asked = 50;
-  rates[WorkspaceId(3)].asked = 500;
-  cr_assert(MaxMinLevel(rates, 1000) ==
+  rates[WorkspaceId(1)].demand = 10;
+  rates[WorkspaceId(2)].demand = 50;
+  rates[WorkspaceId(3)].demand = 500;
+  cr_assert(MaxMinShare(rates, 1000) ==
             std::numeric_limits<double>::infinity());
-  cr_assert_float_eq(MaxMinLevel(rates, 110), 50, 1e-9);
-  cr_assert_float_eq(MaxMinLevel(rates, 90), 40, 1e-9);
-  cr_assert_float_eq(MaxMinLevel(rates, 15), 5, 1e-9);
+  cr_assert_float_eq(MaxMinShare(rates, 110), 50, 1e-9);
+  cr_assert_float_eq(MaxMinShare(rates, 90), 40, 1e-9);
+  cr_assert_float_eq(MaxMinShare(rates, 15), 5, 1e-9);
 }
 
 Test(fairshare, MaxMinSharesUseExactlyTheCapacityOrTheDemand)
@@ -121,11 +121,11 @@
       rc::gen::inRange(0, 10000), [](int aNumber) { return aNumber * 1.0; }));
     double sum = 0;
     for (std::size_t i = 0; i < asked.size(); ++i) {
-      rates[WorkspaceId(static_cast<std::uint32_t>(i))].asked = asked[i];
+      rates[WorkspaceId(static_cast<std::uint32_t>(i))].demand = asked[i];
       sum += asked[i];
     }
     const double capacity = *rc::gen::inRange(1, 20000);
-    const double share = MaxMinLevel(rates, capacity);
+    const double share = MaxMinShare(rates, capacity);
     double given = 0;
     for (const double one : asked) {
       given += std::min(one, share);
@@ -138,9 +138,9 @@
 Test(fairshare, DemandDecaysOverTime)
 {
   DemandMeter meter;
-  meter.Asked(WorkspaceId(1), 2000, 1000ms);
-  const double before = meter.Rates(1000ms).at(WorkspaceId(1)).asked;
-  const double after = meter.Rates(3000ms).at(WorkspaceId(1)).asked;
+  meter.AddDemand(WorkspaceId(1), 2000, 1000ms);
+  const double before = meter.Rates(1000ms).at(WorkspaceId(1)).demand;
+  const double after = meter.Rates(3000ms).at(WorkspaceId(1)).demand;
   cr_assert_float_eq(before, 1000, 1);
   cr_assert_float_eq(after, 1000 / 2.718281828, 1);
   cr_assert(meter.Rates(60000ms).empty());
@@ -153,10 +153,10 @@
   Freshness freshness;
   freshness.Configure(5000ms);
   cr_assert(!freshness.MayUseKeys(0ms));
-  freshness.Proven(1000ms);
+  freshness.RecordProof(1000ms);
   cr_assert(freshness.MayUseKeys(5400ms));
   cr_assert(!freshness.MayUseKeys(5600ms));
-  freshness.Proven(500ms); // an older proof changes nothing
+  freshness.RecordProof(500ms); // an older proof changes nothing
   cr_assert(freshness.MayUseKeys(5400ms));
   Freshness unbounded;
   cr_assert(unbounded.MayUseKeys(1000000ms));
@@ -167,7 +167,7 @@
   PeerView view;
   PeerReport report;
   report.router = "a";
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 1;
   report.loads = { { UpstreamId(1), 100, 2 } };
   cr_assert(view.Take(report, 0ms));
@@ -175,10 +175,10 @@
   report.loads = { { UpstreamId(1), 50, 1 } };
   cr_assert(view.Take(report, 500ms));
   cr_assert(view.LoadOf(UpstreamId(1)).unreadTokens == 150);
-  cr_assert(view.Age(600ms) == 600ms);
+  cr_assert(view.OldestReportAge(600ms) == 600ms);
   view.Forget(1200ms);
   cr_assert(view.LoadOf(UpstreamId(1)).unreadTokens == 50);
-  cr_assert(view.Routers() == 1);
+  cr_assert(view.RouterCount() == 1);
 }
 
 Test(peerview, AnOldReportDoesNotReplaceANewOne)
@@ -186,15 +186,15 @@
   PeerView view;
   PeerReport report;
   report.router = "a";
-  report.life = 2;
+  report.incarnation = 2;
   report.sequence = 5;
   cr_assert(view.Take(report, 0ms));
   report.sequence = 4;
   cr_assert(!view.Take(report, 0ms));
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 9;
   cr_assert(!view.Take(report, 0ms));
-  report.life = 3;
+  report.incarnation = 3;
   report.sequence = 1;
   cr_assert(view.Take(report, 0ms));
 }
--- a/src/fleet/tests/loadmodel.cpp
+++ b/src/fleet/tests/loadmodel.cpp
@@ -128,7 +128,7 @@
   m_result.workspaces.resize(static_cast<std::size_t>(aLoad.workspaces));
   auto config = std::make_shared<FleetConfig>();
   config->version = 1;
-  config->tokensPerSecond = aLoad.tokensPerSecond;
+  config->nominalTokensPerSecond = aLoad.tokensPerSecond;
   config->services["engines"] = { "engines", kEngineSlots };
   std::vector<UpstreamEntry> entries;
   for (int i = 0; i < aLoad.engines; ++i) {
@@ -144,13 +144,13 @@
   for (int i = 0; i < aLoad.routers; ++i) {
     auto& fleet = m_fleet.Add({ "r" + std::to_string(i), "zone-a", 1 });
     fleet.SetConfig(config);
-    if (aLoad.routers > static_cast<int>(kMeshMost)) {
+    if (aLoad.routers > static_cast<int>(kMaxMeshRouters)) {
       ExchangePlan plan;
       plan.groupHubs = { { "10.0.0.1", 1 } };
       fleet.SetPlan(plan);
     }
     fleet.Upstreams().Replace(entries, m_fleet.Now());
-    fleet.FollowUpstreams(m_fleet.Now());
+    fleet.UpdateUpstreams(m_fleet.Now());
   }
   for (const auto& kind : aLoad.kinds) {
     Route route;
@@ -215,7 +215,7 @@
   const auto now = m_fleet.Now();
   auto& fleet = m_fleet.At(
     static_cast<std::size_t>(Draw() * static_cast<double>(m_fleet.Size())));
-  fleet.Arrived(request, now);
+  fleet.CountArrival(request, now);
   const auto place = fleet.Place(request, now);
   const bool isCounted = m_fleet.SinceStart() >= m_load.warmUp;
   auto& outcome = m_result.workspaces[static_cast<std::size_t>(workspace)];
@@ -238,12 +238,12 @@
   }
   const auto attempt = place.attempt;
   m_fleet.Schedule(first, [this, &fleet, attempt] {
-    fleet.FirstToken(attempt, m_fleet.Now());
+    fleet.RecordFirstToken(attempt, m_fleet.Now());
   });
   const auto end =
     first + Duration(static_cast<std::int64_t>(kTokenMs * kind.outputTokens));
   m_fleet.Schedule(end, [this, &fleet, attempt] {
-    fleet.Ended(attempt, AttemptEnd::Answered, m_fleet.Now());
+    fleet.EndAttempt(attempt, AttemptOutcome::Answered, m_fleet.Now());
   });
 }
 
@@ -252,7 +252,7 @@
 {
   for (std::size_t i = 0; i < m_fleet.Size(); ++i) {
     const auto offset = static_cast<std::int64_t>(
-      Draw() * static_cast<double>(kReportPeriod.count()));
+      Draw() * static_cast<double>(kReportInterval.count()));
     m_fleet.StartReports(i, Duration(offset));
   }
   for (std::size_t i = 0; i < m_load.kinds.size(); ++i) {
--- a/src/fleet/tests/modelfleet.cpp
+++ b/src/fleet/tests/modelfleet.cpp
@@ -37,18 +37,18 @@
 ModelFleet::Report(std::size_t aRouter)
 {
   m_fleets[aRouter]->Tick(m_now);
-  const auto report =
-    std::make_shared<PeerReport>(m_fleets[aRouter]->Tell(Duration{}, m_now));
+  const auto report = std::make_shared<PeerReport>(
+    m_fleets[aRouter]->MakeReport(Duration{}, m_now));
   report->loadAge = m_reportDelay;
   Schedule(m_now + m_reportDelay, [this, aRouter, report] {
     for (std::size_t i = 0; i < m_fleets.size(); ++i) {
       const bool cut = m_cutOff.contains(i) || m_cutOff.contains(aRouter);
       if (i != aRouter && !cut) {
-        m_fleets[i]->Take(*report, m_now);
+        m_fleets[i]->ApplyReport(*report, m_now);
       }
     }
   });
-  Schedule(m_now + kReportPeriod, [this, aRouter] { Report(aRouter); });
+  Schedule(m_now + kReportInterval, [this, aRouter] { Report(aRouter); });
 }
 
 void
--- a/src/fleet/tests/modelfleet.h
+++ b/src/fleet/tests/modelfleet.h
@@ -30,7 +30,7 @@
   Duration SinceStart() const { return m_now - kStart; }
   //! Schedules an action. Actions of the same time run in this order.
   void Schedule(TimePoint aAt, std::function<void()> aAction);
-  //! Starts a router's reports after aOffset, one each kReportPeriod.
+  //! Starts a router's reports after aOffset, one each kReportInterval.
   void StartReports(std::size_t aRouter, Duration aOffset);
   //! Drops all reports from and to this router from now on, or no longer.
   void SetCutOff(std::size_t aRouter, bool aIsCut);
--- a/src/fleet/tests/placementtests.cpp
+++ b/src/fleet/tests/placementtests.cpp
@@ -1,7 +1,7 @@
 #include "fleet/fleetconstants.h"
 #include "fleet/placement.h"
+#include "fleet/prefillrate.h"
 #include "fleet/prefixmap.h"
-#include "fleet/readrate.h"
 
 #include <criterion/criterion.h>
 
@@ -20,7 +20,7 @@
   candidate.isEngine = true;
   candidate.unreadTokens = aUnread;
   candidate.missingTokens = aMissing;
-  candidate.readRate = 20;
+  candidate.prefillRate = 20;
   candidate.slots = 64;
   return candidate;
 }
@@ -103,7 +103,7 @@
 Test(placement, AFailingUpstreamComesLast)
 {
   std::vector<Candidate> all{ Engine(1, 0), Engine(2, 3000) };
-  all[0].failurePart = 0.6;
+  all[0].failureRatio = 0.6;
   for (std::uint64_t key = 0; key < 20; ++key) {
     cr_assert(Place(PrefixAffinity{}, all, key)->candidate == 1);
   }
@@ -113,19 +113,19 @@
 {
   const auto prefix = Ids(40);
   auto nearest = prefix;
-  KeepNearest(nearest, 7, 5);
+  KeepTopRanked(nearest, 7, 5);
   cr_assert(nearest.size() == 5);
   auto without = prefix;
   std::erase(without, nearest.front());
   auto next = without;
-  KeepNearest(next, 7, 5);
+  KeepTopRanked(next, 7, 5);
   int kept = 0;
   for (const auto id : next) {
     kept += std::count(nearest.begin(), nearest.end(), id) > 0 ? 1 : 0;
   }
   cr_assert(kept == 4, "one that leaves is replaced, the others stay");
   auto few = Ids(3);
-  KeepNearest(few, 7, 5);
+  KeepTopRanked(few, 7, 5);
   cr_assert(few.size() == 3);
 }
 
@@ -136,7 +136,7 @@
 
 Test(prefillrate, TheRateOfASlowUpstreamIsLearned)
 {
-  ReadRate rate;
+  PrefillRate rate;
   for (int i = 0; i < 60; ++i) {
     rate.Learn(2900, 12 + 2900 / 7.0);
   }
@@ -150,11 +150,11 @@
   PrefixMap map;
   Work work;
   work.prompt = { { 1, 100 }, { 2, 200 }, { 3, 300 } };
-  map.Used(2, UpstreamId(9));
-  cr_assert(map.Held(work, UpstreamId(9)) == 0);
-  map.Used(1, UpstreamId(9));
-  cr_assert(map.Held(work, UpstreamId(9)) == 300);
-  cr_assert(map.Held(work, UpstreamId(8)) == 0);
+  map.RecordUse(2, UpstreamId(9));
+  cr_assert(map.HeldTokens(work, UpstreamId(9)) == 0);
+  map.RecordUse(1, UpstreamId(9));
+  cr_assert(map.HeldTokens(work, UpstreamId(9)) == 300);
+  cr_assert(map.HeldTokens(work, UpstreamId(8)) == 0);
 }
 
 //! While the store was unavailable for ten seconds, nothing had been prefilled.
@@ -165,13 +165,13 @@
   PrefixMap map;
   Work work;
   work.prompt = { { 1, 100 }, { 2, 200 } };
-  map.Used(1, UpstreamId(9));
-  map.Advance(kPrefixKeptUnsaid);
-  cr_assert(map.Held(work, UpstreamId(9)) == 100);
+  map.RecordUse(1, UpstreamId(9));
+  map.AddEnteredTokens(kDefaultPromptCacheTokens);
+  cr_assert(map.HeldTokens(work, UpstreamId(9)) == 100);
   map.Forget();
   cr_assert(map.Size() == 1);
-  map.Advance(1);
-  cr_assert(map.Held(work, UpstreamId(9)) == 0);
+  map.AddEnteredTokens(1);
+  cr_assert(map.HeldTokens(work, UpstreamId(9)) == 0);
   map.Forget();
   cr_assert(map.Size() == 0);
 }
--- a/src/fleet/tests/plainmodel.cpp
+++ b/src/fleet/tests/plainmodel.cpp
@@ -94,7 +94,7 @@
     auto& fleet = m_fleet.Add({ "r" + std::to_string(i), "zone-a", 1 });
     fleet.SetConfig(config);
     fleet.Upstreams().Replace(entries, m_fleet.Now());
-    fleet.FollowUpstreams(m_fleet.Now());
+    fleet.UpdateUpstreams(m_fleet.Now());
   }
 }
 
@@ -122,7 +122,7 @@
   const auto now = m_fleet.Now();
   auto& fleet = m_fleet.At(
     static_cast<std::size_t>(Draw() * static_cast<double>(m_fleet.Size())));
-  fleet.Arrived(request, now);
+  fleet.CountArrival(request, now);
   const auto place = fleet.Place(request, now);
   const bool isCounted = m_fleet.SinceStart() >= m_load.warmUp;
   const auto count = [isCounted](int& aCounter) {
@@ -138,12 +138,12 @@
   const auto end = m_upstreams.at(place.upstreamId).Accept(work, now);
   if (!end) {
     count(m_result.refusedByUpstream);
-    fleet.Ended(place.attempt, AttemptEnd::Refused, now);
+    fleet.EndAttempt(place.attempt, AttemptOutcome::Refused, now);
     return;
   }
   count(*end - now <= m_load.target ? m_result.inTime : m_result.late);
   m_fleet.Schedule(*end, [this, &fleet, attempt = place.attempt] {
-    fleet.Ended(attempt, AttemptEnd::Answered, m_fleet.Now());
+    fleet.EndAttempt(attempt, AttemptOutcome::Answered, m_fleet.Now());
   });
 }
 
@@ -152,7 +152,7 @@
 {
   for (std::size_t i = 0; i < m_fleet.Size(); ++i) {
     const auto offset = static_cast<std::int64_t>(
-      Draw() * static_cast<double>(kReportPeriod.count()));
+      Draw() * static_cast<double>(kReportInterval.count()));
     m_fleet.StartReports(i, Duration(offset));
   }
   ScheduleCall();
--- a/src/fleet/tests/plainservicetests.cpp
+++ b/src/fleet/tests/plainservicetests.cpp
@@ -1,6 +1,6 @@
 #include "plainmodel.h"
 
-#include "fleet/calllevels.h"
+#include "fleet/callthrottle.h"
 #include "fleet/fleetconstants.h"
 #include "fleet/loadspread.h"
 
@@ -62,10 +62,11 @@
 
 Test(plainservice, TheAdmittedRatioFollowsUtilisationAndAnswers)
 {
-  cr_assert_float_eq(PassingPart({ 100, 100 }, 0.5), 1.0, 1e-9);
-  cr_assert_float_eq(PassingPart({ 0, 0 }, 0.0), 1.0, 1e-9);
-  cr_assert_float_eq(PassingPart({ 200, 100 }, 1.0), kCallsUse / 2, 1e-9);
-  cr_assert_float_eq(PassingPart({ 200, 0 }, 1.0), 0.0, 1e-9);
+  cr_assert_float_eq(AdmittedRatio({ 100, 100 }, 0.5), 1.0, 1e-9);
+  cr_assert_float_eq(AdmittedRatio({ 0, 0 }, 0.0), 1.0, 1e-9);
+  cr_assert_float_eq(
+    AdmittedRatio({ 200, 100 }, 1.0), kMaxCallUtilisation / 2, 1e-9);
+  cr_assert_float_eq(AdmittedRatio({ 200, 0 }, 1.0), 0.0, 1e-9);
 }
 
 //! All upstreams of a service hung and answered nothing. Once their slots are
@@ -74,11 +75,11 @@
 {
   const auto service = ServiceId(7);
   const CallRates unanswered{ { service, { 200, 0 } } };
-  CallLevels throttle;
+  CallThrottle throttle;
   const auto countPassing = [&] {
     int passed = 0;
     for (std::uint64_t key = 0; key < 100; ++key) {
-      passed += throttle.Passes(service, key) ? 1 : 0;
+      passed += throttle.Admits(service, key) ? 1 : 0;
     }
     return passed;
   };
@@ -94,7 +95,7 @@
 
 Test(loadspread, WithoutUnreportedLoadTheCheapestOptionGetsEverything)
 {
-  const auto parts = SpreadParts({ { 30, 1 }, { 10, 1 }, { 20, 5 } }, 0);
+  const auto parts = SpreadWeights({ { 30, 1 }, { 10, 1 }, { 20, 5 } }, 0);
   cr_assert_float_eq(parts[0], 0.0, 1e-9);
   cr_assert_float_eq(parts[1], 1.0, 1e-9);
   cr_assert_float_eq(parts[2], 0.0, 1e-9);
@@ -104,7 +105,8 @@
 //! that costs 30 gets nothing.
 Test(loadspread, UnreportedLoadGoesToTheCheapestOptionsFirst)
 {
-  const auto parts = SpreadParts({ { 30, 1 }, { 10, 1 }, { 20, 1 } }, 20.0 / 3);
+  const auto parts =
+    SpreadWeights({ { 30, 1 }, { 10, 1 }, { 20, 1 } }, 20.0 / 3);
   cr_assert_float_eq(parts[0], 0.0, 1e-9);
   cr_assert_float_eq(parts[1], 0.75, 1e-9);
   cr_assert_float_eq(parts[2], 0.25, 1e-9);
@@ -112,13 +114,13 @@
 
 Test(loadspread, FasterOptionsGetMoreAndPicksFollowTheWeights)
 {
-  const auto parts = SpreadParts({ { 0, 3 }, { 0, 1 } }, 100);
+  const auto parts = SpreadWeights({ { 0, 3 }, { 0, 1 } }, 100);
   cr_assert_float_eq(parts[0], 0.75, 1e-9);
   constexpr std::uint32_t kDraws = 4000;
   double firstPicks = 0;
   for (std::uint32_t i = 0; i < kDraws; ++i) {
-    firstPicks += DrawByParts(parts, base::HashPair(i, 1)) == 0 ? 1.0 : 0.0;
+    firstPicks += PickByWeight(parts, base::HashPair(i, 1)) == 0 ? 1.0 : 0.0;
   }
   cr_assert_float_eq(firstPicks / kDraws, 0.75, 0.03);
-  cr_assert(DrawByParts({ 1.0, 0.0 }, ~std::uint64_t{ 0 }) == 0);
+  cr_assert(PickByWeight({ 1.0, 0.0 }, ~std::uint64_t{ 0 }) == 0);
 }
