--- a/src/fleet/tests/prefixcopytests.cpp
+++ b/src/fleet/tests/prefixcopytests.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kTokensPerMs = 50;
 //! An engine that holds nothing of the prompt.
-constexpr PrefixReader kReader{ UpstreamId(99), "z0", 0, kTokensPerMs };
+constexpr CopyRecipient kReader{ UpstreamId(99), "z0", 0, kTokensPerMs };
 
 Service
 LinkedService()
@@ -22,8 +22,8 @@
   Service service;
   service.name = "engines";
   service.engineSlots = 64;
-  service.memoryTokens = 600000;
-  service.bytesPerToken = 18000;
+  service.kvCacheTokens = 600000;
+  service.kvBytesPerToken = 18000;
   service.copyMbps = 180000;
   return service;
 }
@@ -57,7 +57,7 @@
       entries.push_back(entry);
     }
     fleet.Upstreams().Replace(entries, now);
-    fleet.FollowUpstreams(now);
+    fleet.UpdateUpstreams(now);
   }
 
   //! Reports that another router has aTokens prefilled in a second and aRunning
@@ -66,12 +66,12 @@
   {
     PeerReport report;
     report.router = "r2";
-    report.life = 1;
+    report.incarnation = 1;
     report.sequence = ++lastReport;
-    report.reading = aTokens;
+    report.prefillDemand = aTokens;
     report.loads = { { UpstreamIdOf(entries.front()), 0, aRunning } };
     fleet.Tick(now);
-    fleet.Take(report, now);
+    fleet.ApplyReport(report, now);
     now += 1000ms;
     fleet.Tick(now);
   }
@@ -89,7 +89,7 @@
     request.workspace = WorkspaceIdOf("w");
     request.key = lastUniquePart * 7919;
     request.timeLeft = 6000ms;
-    request.avoid = std::move(aAvoid);
+    request.triedUpstreams = std::move(aAvoid);
     request.admitted = true;
     return fleet.Place(request, now);
   }
@@ -97,7 +97,7 @@
   //! Places such a request and answers it.
   void Serve(std::uint64_t aPrefix)
   {
-    fleet.Ended(Place(aPrefix).attempt, AttemptEnd::Answered, now);
+    fleet.EndAttempt(Place(aPrefix).attempt, AttemptOutcome::Answered, now);
   }
 
   Fleet fleet;
@@ -117,11 +117,11 @@
   const std::vector<PrefixHolder> holders{ Holder(1, 500),
                                            Holder(2, 5000, "z1"),
                                            Holder(3, 5000) };
-  const auto copy = ChooseCopy(
+  const auto copy = ChooseCopySource(
     service, holders, { UpstreamId(99), "z0", 500, kTokensPerMs }, 9);
   cr_assert(copy && copy->from == UpstreamId(3));
   cr_assert(copy->tokens == 4500);
-  cr_assert(copy->millis < 4500 / kTokensPerMs);
+  cr_assert(copy->durationMs < 4500 / kTokensPerMs);
 }
 
 Test(prefixcopy, CopiesAreSpreadOverEqualHolders)
@@ -132,7 +132,7 @@
   std::set<UpstreamId> used;
   for (std::uint64_t key = 1; key < 50; ++key) {
     used.insert(
-      ChooseCopy(LinkedService(), holders, kReader, key * 7919)->from);
+      ChooseCopySource(LinkedService(), holders, kReader, key * 7919)->from);
   }
   cr_assert(used.size() == 3);
 }
@@ -140,11 +140,11 @@
 Test(prefixcopy, NothingIsCopiedIfPrefillTakesAboutAsLong)
 {
   const auto little = std::vector{ Holder(1, 100) };
-  cr_assert(!ChooseCopy(LinkedService(), little, kReader, 9));
+  cr_assert(!ChooseCopySource(LinkedService(), little, kReader, 9));
   auto slow = LinkedService();
   slow.copyMbps = 1000;
   const auto much = std::vector{ Holder(1, 5000) };
-  cr_assert(!ChooseCopy(slow, much, kReader, 9));
+  cr_assert(!ChooseCopySource(slow, much, kReader, 9));
 }
 
 Test(prefixcopy, EnginesWithoutLinksCopyNothing)
@@ -152,7 +152,7 @@
   auto unlinked = LinkedService();
   unlinked.copyMbps = 0;
   const auto holders = std::vector{ Holder(1, 5000) };
-  cr_assert(!ChooseCopy(unlinked, holders, kReader, 9));
+  cr_assert(!ChooseCopySource(unlinked, holders, kReader, 9));
 }
 
 Test(prefixcopy, AnEngineCopiesWhatAnotherOneHolds)
@@ -181,7 +181,7 @@
     } else {
       fixture.fleet.Upstreams().Put(entry);
     }
-    fixture.fleet.FollowUpstreams(fixture.now);
+    fixture.fleet.UpdateUpstreams(fixture.now);
     cr_assert(fixture.Place(7, { first.upstream }).copyFrom.port == 0,
               "copied from an upstream that is %s",
               how);
@@ -207,7 +207,7 @@
 {
   for (const double memory : { 100000.0, 1000000.0 }) {
     auto service = LinkedService();
-    service.memoryTokens = memory;
+    service.kvCacheTokens = memory;
     service.copyMbps = 0;
     LinkedFleet fixture(1, service);
     fixture.Place(7);
@@ -239,22 +239,22 @@
 //! Copied and generated tokens fill an engine's memory like prefilled ones.
 Test(kvcacheuse, CopiedAndGeneratedTokensCountAsFilled)
 {
-  MemoryUse use;
-  cr_assert(use.FilledPerRead() == 1.0);
-  cr_assert(use.TokensOfRunning() == 0.0);
+  KvCacheUse use;
+  cr_assert(use.FilledPerPrefillToken() == 1.0);
+  cr_assert(use.MeanRunningTokens() == 0.0);
   Work work;
   work.promptTokens = 6000;
   work.outputTokens = 200;
   work.prompt = { { 1, 5000 }, { 2, 1000 } };
   for (int i = 0; i < 3; ++i) {
-    use.Begun(work, 1000, 800);
+    use.RecordRequest(work, 1000, 800);
   }
-  cr_assert_float_eq(use.FilledPerRead(), 2.0, 0.01);
-  cr_assert_float_eq(use.TokensOfRunning(), 1100, 0.01);
+  cr_assert_float_eq(use.FilledPerPrefillToken(), 2.0, 0.01);
+  cr_assert_float_eq(use.MeanRunningTokens(), 1100, 0.01);
   for (int i = 0; i < 2000; ++i) {
-    use.Begun(work, 0, 6000);
+    use.RecordRequest(work, 0, 6000);
   }
-  cr_assert(use.FilledPerRead() <= 4.0);
+  cr_assert(use.FilledPerPrefillToken() <= 4.0);
 }
 
 //! An engine that had evicted a prefix prefilled it again although other
--- a/src/fleet/tests/retrytests.cpp
+++ b/src/fleet/tests/retrytests.cpp
@@ -32,9 +32,9 @@
   cr_assert(!health.Failed(1ms, true));
   cr_assert(health.Failed(2ms, true));
   cr_assert(health.IsEjected(3ms));
-  cr_assert(!health.IsEjected(2ms + kEjectionFirst));
+  cr_assert(!health.IsEjected(2ms + kMinEjectionTime));
   cr_assert(health.Failed(1000ms, true));
-  cr_assert(health.IsEjected(1000ms + kEjectionFirst));
+  cr_assert(health.IsEjected(1000ms + kMinEjectionTime));
   health.Succeeded(8000ms);
   cr_assert(!health.Failed(9000ms, true));
 }
@@ -57,8 +57,9 @@
   for (int i = 0; i < 6; ++i) {
     health.Failed(0ms, false);
   }
-  cr_assert(health.FailurePart(0ms) * kFailureMs > 2000);
-  cr_assert(health.FailurePart(5 * kFailureHalfLife) * kFailureMs < 100);
+  cr_assert(health.FailureRatio(0ms) * kFailurePenaltyMs > 2000);
+  cr_assert(health.FailureRatio(5 * kFailureHalfLife) * kFailurePenaltyMs <
+            100);
 }
 
 Test(retrypolicy, ARequestThatWasNeverSentIsRetriedWithoutBudget)
@@ -71,7 +72,7 @@
   failed.waited = 301ms; // a cut-off router must not hold its callers
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
   failed.waited = 0ms;
-  failed.attemptsNotRun = kMostNotRunAttempts;
+  failed.attemptsNotRun = kMaxNotRunAttempts;
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
 }
 
@@ -82,7 +83,7 @@
   failed = MakeFailedAttempt(CallKind::Stream, false, 1);
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AnswerUnknown);
   failed.answerBegun = true;
-  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Cut);
+  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AbortAnswer);
 }
 
 Test(retrypolicy, ARequestThatDidNotRunIsRetriedOrAnsweredAsNotRun)
@@ -90,7 +91,7 @@
   auto failed = MakeFailedAttempt(CallKind::AtMostOnce, false, 0);
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Retry);
   cr_assert(DecideAfterFailure(failed, false) == AfterFailure::AnswerNotRun);
-  failed.attemptsNotRun = kMostNotRunAttempts;
+  failed.attemptsNotRun = kMaxNotRunAttempts;
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AnswerNotRun);
 }
 
@@ -100,10 +101,10 @@
   failed.answerBegun = true;
   cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Retry);
   failed.attemptsRun = 2;
-  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Cut);
+  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AbortAnswer);
   failed.attemptsRun = 1;
   failed.timeLeft = 10ms;
-  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::Cut);
+  cr_assert(DecideAfterFailure(failed, true) == AfterFailure::AbortAnswer);
 }
 
 //! For any number of routers and requests, no time window holds more retries
--- a/src/fleet/tests/sourcetests.cpp
+++ b/src/fleet/tests/sourceselectortests.cpp
@@ -1,7 +1,7 @@
 #include "fleet/exchangeplan.h"
 #include "fleet/fleetconstants.h"
 #include "fleet/sourceoptions.h"
-#include "fleet/sourcepolicy.h"
+#include "fleet/sourceselector.h"
 
 #include <criterion/criterion.h>
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-const NewsSource kStore{};
-const NewsSource kHubA{ SourceKind::Router, { "10.0.0.1", 1 } };
-const NewsSource kHubB{ SourceKind::Router, { "10.0.0.2", 1 } };
+const StoreSource kStore{};
+const StoreSource kHubA{ SourceKind::Router, { "10.0.0.1", 1 } };
+const StoreSource kHubB{ SourceKind::Router, { "10.0.0.2", 1 } };
 
 constexpr base::Duration kStep = 20ms;
 constexpr base::Duration kRevocationBound = 5000ms;
@@ -29,7 +29,7 @@
 {
   FleetMember member;
   ExchangePlan plan;
-  SourcePolicy policy;
+  SourceSelector policy;
   TimePoint provenAt{};
   TimePoint nextCallAt{};
   TimePoint lastUpdateAt{};
@@ -104,18 +104,19 @@
       }
     }
     if (freshest != nullptr && now - freshest->provenAt >= kReportTime) {
-      m_freshestReader.Learn(freshest->member.address, freshest->provenAt);
+      m_freshestReader.Update(freshest->member.address, freshest->provenAt);
     }
   }
 
   void Step(SimulatedRouter& aRouter)
   {
-    SourceView view;
+    SourceContext view;
     view.self = aRouter.member.address;
     view.hash = aRouter.member.hash;
     view.sinceStart = 60000ms;
     view.proofAge = now - aRouter.provenAt;
-    view.knownReader = m_freshestReader.Better(aRouter.provenAt, now);
+    view.freshestReader =
+      m_freshestReader.ReaderFresherThan(aRouter.provenAt, now);
     aRouter.policy.SetOptions(MakeSourceOptions(view, aRouter.plan), now);
     if (aRouter.policy.Tick(now)) {
       aRouter.nextCallAt = now;
@@ -147,8 +148,9 @@
 
   void FollowRouter(SimulatedRouter& aRouter, const SimulatedRouter& aSource)
   {
-    const bool newer = aSource.provenAt >= aRouter.provenAt + kProofStep;
-    if (!newer && now - aRouter.lastUpdateAt < kNewsWait) {
+    const bool newer =
+      aSource.provenAt >= aRouter.provenAt + kProofPushInterval;
+    if (!newer && now - aRouter.lastUpdateAt < kNewsPollTimeout) {
       return;
     }
     aRouter.lastUpdateAt = now;
@@ -157,44 +159,44 @@
   }
 
   std::map<std::string, SimulatedRouter*> m_byAddress;
-  KnownReader m_freshestReader;
+  FreshestReader m_freshestReader;
 };
 
 }
 
 Test(sourceselector, ASilentSourceIsSkippedAndRetriedLater)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA, kHubB, kStore }, false, {}, {} }, 0ms);
   cr_assert(policy.Current() == kHubA);
   policy.Answered(100ms, 500ms);
   cr_assert(!policy.Tick(1000ms));
-  cr_assert(policy.Tick(500ms + kRouterSilent + 1ms));
+  cr_assert(policy.Tick(500ms + kRouterTimeout + 1ms));
   cr_assert(policy.Current() == kHubB);
-  const auto at = 500ms + kRouterSilent + 1ms;
-  for (auto now = at; now < at + kSourceRetry; now += 100ms) {
+  const auto at = 500ms + kRouterTimeout + 1ms;
+  for (auto now = at; now < at + kSourceRetryInterval; now += 100ms) {
     policy.Answered(100ms, now);
     cr_assert(!policy.Tick(now));
   }
-  policy.Answered(100ms, at + kSourceRetry + 1ms);
-  cr_assert(policy.Tick(at + kSourceRetry + 1ms));
+  policy.Answered(100ms, at + kSourceRetryInterval + 1ms);
+  cr_assert(policy.Tick(at + kSourceRetryInterval + 1ms));
   cr_assert(policy.Current() == kHubA);
 }
 
 Test(sourceselector, ASourceThatIsItselfCutOffIsSkipped)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
-  policy.Answered(kSourceStale + 1ms, 100ms);
+  policy.Answered(kMaxSourceProofAge + 1ms, 100ms);
   cr_assert(!policy.Tick(200ms)); // else all routers would switch in circles
-  policy.Answered(kSourceStale + 1ms, kSourceDwell);
-  cr_assert(policy.Tick(kSourceDwell + 1ms));
+  policy.Answered(kMaxSourceProofAge + 1ms, kMinSourceDwell);
+  cr_assert(policy.Tick(kMinSourceDwell + 1ms));
   cr_assert(policy.Current() == kHubB);
 }
 
 Test(sourceselector, AStoreThatIsTheOnlySourceIsKept)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kStore }, false, {}, {} }, 0ms);
   cr_assert(!policy.Tick(100000ms));
   cr_assert(policy.Current() == kStore);
@@ -202,12 +204,12 @@
 
 Test(sourceselector, ANewOrderIsFollowedUnlessTheFirstSourceHadFailed)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA, kStore }, false, {}, {} }, 0ms);
   cr_assert(policy.Current() == kHubA);
   policy.SetOptions({ { kHubB, kHubA, kStore }, false, {}, {} }, 100ms);
   cr_assert(policy.Current() == kHubB);
-  cr_assert(policy.Tick(100ms + kRouterSilent + 1ms));
+  cr_assert(policy.Tick(100ms + kRouterTimeout + 1ms));
   cr_assert(policy.Current() == kHubA);
   policy.SetOptions({ { kHubB, kStore, kHubA }, false, {}, {} }, 2000ms);
   cr_assert(policy.Current() == kHubA);
@@ -217,32 +219,32 @@
 
 Test(sourceselector, ATakeoverLastsForAWhileAndIsRepeatedIfNeeded)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA }, false, {}, {} }, 0ms);
-  policy.SetOptions({ { kHubA }, true, {}, {} }, kSourceDwell + 1ms);
-  cr_assert(policy.Tick(kSourceDwell + 1ms));
+  policy.SetOptions({ { kHubA }, true, {}, {} }, kMinSourceDwell + 1ms);
+  cr_assert(policy.Tick(kMinSourceDwell + 1ms));
   cr_assert(policy.Current() == kStore && !policy.IsPreferred());
-  auto now = kSourceDwell + 1ms;
+  auto now = kMinSourceDwell + 1ms;
   policy.SetOptions({ { kHubA }, false, {}, {} }, now);
-  for (const auto end = now + kSourceRetry; now < end; now += 100ms) {
+  for (const auto end = now + kSourceRetryInterval; now < end; now += 100ms) {
     policy.Answered(0ms, now);
     cr_assert(!policy.Tick(now));
   }
   now += 100ms;
   cr_assert(policy.Tick(now));
   cr_assert(policy.Current() == kHubA);
-  policy.Answered(kSourceStale + 1ms, now + 100ms);
+  policy.Answered(kMaxSourceProofAge + 1ms, now + 100ms);
   cr_assert(policy.Tick(now + 100ms));
   cr_assert(policy.Current() == kStore);
 }
 
 Test(sourceselector, IfAllSourcesAreCutOffEachIsKeptLongerThanTheOneBefore)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
   int changes = 0;
   for (TimePoint now{}; now < 20000ms; now += 100ms) {
-    policy.Answered(kSourceStale + 1ms, now);
+    policy.Answered(kMaxSourceProofAge + 1ms, now);
     changes += policy.Tick(now) ? 1 : 0;
   }
   cr_assert(changes <= 9, "%d changes of source", changes);
@@ -250,9 +252,9 @@
 
 Test(sourceselector, ARouterWithACutOffSourceFollowsTheFreshestReaderAtOnce)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kHubA, kHubB }, false, {}, {} }, 0ms);
-  policy.Answered(kSourceStale, 100ms);
+  policy.Answered(kMaxSourceProofAge, 100ms);
   policy.SetOptions({ { kHubA, kHubB }, false, 1, {} }, 101ms);
   cr_assert(policy.Tick(101ms));
   cr_assert(policy.Current() == kHubB);
@@ -263,13 +265,13 @@
 //! back to it three seconds later, too late for the configuration.
 Test(sourceselector, AStoreThatIsSilentForAllIsKept)
 {
-  SourcePolicy policy;
-  const std::vector<NewsSource> order{ kStore, kHubA, kHubB };
+  SourceSelector policy;
+  const std::vector<StoreSource> order{ kStore, kHubA, kHubB };
   policy.SetOptions({ order, false, {}, {} }, 0ms);
-  cr_assert(!policy.Tick(kStoreSilentForAll));
+  cr_assert(!policy.Tick(kStoreReaderTimeout));
   cr_assert(policy.Current() == kStore);
-  policy.SetOptions({ order, false, 2, {} }, kStoreSilentForAll);
-  cr_assert(policy.Tick(kStoreSilentForAll));
+  policy.SetOptions({ order, false, 2, {} }, kStoreReaderTimeout);
+  cr_assert(policy.Tick(kStoreReaderTimeout));
   cr_assert(policy.Current() == kHubB);
 }
 
@@ -277,31 +279,31 @@
 //! source.
 Test(sourceselector, AStoreReaderReturnsToTheStoreFromACutOffSource)
 {
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions({ { kStore, kHubA, kHubB }, false, {}, {} }, 0ms);
-  auto now = kStoreSilentForAll + 1ms;
+  auto now = kStoreReaderTimeout + 1ms;
   cr_assert(policy.Tick(now));
   cr_assert(policy.Current() == kHubA);
   for (int i = 0; i < 4; ++i) { // however often the store failed
-    now += kSourceDwell + 1ms;
-    policy.Answered(kSourceStale + 1ms, now);
+    now += kMinSourceDwell + 1ms;
+    policy.Answered(kMaxSourceProofAge + 1ms, now);
     cr_assert(policy.Tick(now));
     cr_assert(policy.Current() == kStore);
-    now += kStoreSilentForAll + 1ms;
+    now += kStoreReaderTimeout + 1ms;
     cr_assert(policy.Tick(now));
   }
 }
 
 Test(sourceselector, AStartingRouterAsksASeedAndTheStoreSoonAfter)
 {
-  SourceView view;
+  SourceContext view;
   view.self = { "10.0.0.9", 1 };
   view.seeds = { kHubA.address, kHubB.address };
-  view.seedWait = kStartPatience;
-  SourcePolicy policy;
+  view.seedWait = kDefaultSeedWait;
+  SourceSelector policy;
   policy.SetOptions(MakeSourceOptions(view, {}), 0ms);
   cr_assert(policy.Current() == kHubA);
-  cr_assert(policy.Tick(kStartPatience + 1ms));
+  cr_assert(policy.Tick(kDefaultSeedWait + 1ms));
   cr_assert(policy.Current() == kStore);
 }
 
@@ -309,7 +311,7 @@
 //! follows a hub of its group.
 Test(sourceselector, ARouterThatHasStartedAndKnowsTheFleetFollowsItsHub)
 {
-  SourceView view;
+  SourceContext view;
   view.self = { "10.0.0.9", 1 };
   view.seeds = { kHubA.address };
   view.sinceStart = 500ms;
@@ -317,7 +319,7 @@
   ExchangePlan plan;
   plan.isHub = false;
   plan.groupHubs = { kHubB.address };
-  plan.readRank = kStoreReaders;
+  plan.storeReadRank = kStoreReaders;
   cr_assert(MakeSourceOptions(view, plan).order.front() == kHubB);
   view.proofAge = view.sinceStart;
   cr_assert(MakeSourceOptions(view, plan).order.front() == kHubA);
@@ -325,22 +327,22 @@
 
 Test(sourceselector, AStartingSeedReadsTheStore)
 {
-  SourceView view;
+  SourceContext view;
   view.seeds = { kHubB.address };
   view.isSeed = true;
-  SourcePolicy policy;
+  SourceSelector policy;
   policy.SetOptions(MakeSourceOptions(view, {}), 0ms);
   cr_assert(policy.Current() == kStore);
 }
 
 Test(sourceselector, InASmallFleetEachRouterReadsTheStore)
 {
-  SourceView view;
+  SourceContext view;
   view.self = { "10.0.0.9", 1 };
-  view.sinceStart = kSourceSettle;
+  view.sinceStart = kSourceSettleTime;
   view.seeds = { kHubA.address };
   ExchangePlan plan;
-  plan.tell = { kHubA.address, kHubB.address };
+  plan.reportTargets = { kHubA.address, kHubB.address };
   const auto options = MakeSourceOptions(view, plan);
   cr_assert(options.order.size() == 3 && options.order[0] == kStore);
 }
@@ -349,15 +351,16 @@
 //! had switched to each other. They stayed there for four seconds.
 Test(sourceselector, InASmallFleetTheFreshestReaderIsASourceToo)
 {
-  SourceView view;
+  SourceContext view;
   view.self = { "10.0.0.9", 1 };
-  view.sinceStart = kSourceSettle;
-  view.knownReader = kHubB.address;
+  view.sinceStart = kSourceSettleTime;
+  view.freshestReader = kHubB.address;
   ExchangePlan plan;
-  plan.tell = { kHubA.address };
+  plan.reportTargets = { kHubA.address };
   const auto options = MakeSourceOptions(view, plan);
   cr_assert(options.order[0] == kStore);
-  cr_assert(options.known && options.order[*options.known] == kHubB);
+  cr_assert(options.fresherIndex &&
+            options.order[*options.fresherIndex] == kHubB);
 }
 
 //! Hundreds of routers without any fault. With a store reader in each group,
@@ -370,10 +373,10 @@
   cr_assert(
     fleet.callers.size() == kStoreReaders, "%zu callers", fleet.callers.size());
   cr_assert(fleet.calls <= 21 * static_cast<int>(kStoreReaders));
-  cr_assert(fleet.OldestProof() < kTakeoverAfter);
+  cr_assert(fleet.OldestProof() < kTakeoverProofAge);
   std::set<std::uint32_t> zones;
   for (const auto& router : fleet.routers) {
-    if (router.plan.readRank < kStoreReaders) {
+    if (router.plan.storeReadRank < kStoreReaders) {
       zones.insert(router.member.zone);
     }
   }
@@ -387,7 +390,7 @@
   SimulatedFleet fleet;
   fleet.Run(5000ms);
   fleet.storeAnswers = [](const SimulatedRouter& aRouter) {
-    return aRouter.plan.readRank >= kStoreReaders &&
+    return aRouter.plan.storeReadRank >= kStoreReaders &&
            aRouter.member.hash % 2 == 0;
   };
   for (int i = 0; i < 150; ++i) {
@@ -412,7 +415,7 @@
   cr_assert(fleet.calls <= 400, "%d calls", fleet.calls);
   fleet.storeAnswers = [](const SimulatedRouter&) { return true; };
   fleet.Run(2000ms);
-  cr_assert(fleet.OldestProof() < kTakeoverAfter);
+  cr_assert(fleet.OldestProof() < kTakeoverProofAge);
 }
 
 //! Three hundred routers that start at once would all list the store, where
@@ -421,8 +424,8 @@
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
-  options.patience = kStartPatience;
-  SourcePolicy policy;
+  options.firstAnswerTimeout = kDefaultSeedWait;
+  SourceSelector policy;
   policy.SetOptions(options, 0ms);
   policy.Pending(20ms);
   auto now = 20ms;
@@ -431,7 +434,7 @@
     policy.Tick(now);
     cr_assert(policy.Current() == kHubA);
   }
-  policy.Tick(now + kRouterSilent);
+  policy.Tick(now + kRouterTimeout);
   cr_assert(policy.Current() == kStore);
 }
 
@@ -439,9 +442,9 @@
 {
   SourceOptions options;
   options.order = { kHubA, kStore };
-  options.patience = kStartPatience;
-  SourcePolicy policy;
+  options.firstAnswerTimeout = kDefaultSeedWait;
+  SourceSelector policy;
   policy.SetOptions(options, 0ms);
-  policy.Tick(kStartPatience + 20ms);
+  policy.Tick(kDefaultSeedWait + 20ms);
   cr_assert(policy.Current() == kStore);
 }
--- a/src/fleet/tests/newstests.cpp
+++ b/src/fleet/tests/storechangelogtests.cpp
@@ -1,5 +1,5 @@
 #include "fleet/fleetconstants.h"
-#include "fleet/newslog.h"
+#include "fleet/storechangelog.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
@@ -21,28 +21,28 @@
   return entries;
 }
 
-NewsAsk
-MakeRequestAfter(const News& aUpdate, std::uint64_t aConfigVersion)
+StoreUpdateRequest
+MakeRequestAfter(const StoreUpdate& aUpdate, std::uint64_t aConfigVersion)
 {
-  return { aUpdate.life, aUpdate.sequence, aConfigVersion };
+  return { aUpdate.incarnation, aUpdate.sequence, aConfigVersion };
 }
 
 }
 
 Test(storechangelog, ANewFollowerGetsEverythingAndAKnownOneTheChanges)
 {
-  NewsLog log(7);
+  StoreChangeLog log(7);
   log.SetConfig(3, "three");
   log.SetUpstreams(Entries({ "a", "b" }));
   const auto first = log.Answer({}, 40ms);
-  cr_assert(first.full && first.upstreams.size() == 2);
+  cr_assert(first.isFullList && first.upstreams.size() == 2);
   cr_assert(first.config == "three");
   cr_assert(first.proofAge == 40ms);
-  cr_assert(!log.HasNews(MakeRequestAfter(first, 3)));
+  cr_assert(!log.HasUpdateFor(MakeRequestAfter(first, 3)));
   log.SetUpstreams(Entries({ "b", "c" }));
-  cr_assert(log.HasNews(MakeRequestAfter(first, 3)));
+  cr_assert(log.HasUpdateFor(MakeRequestAfter(first, 3)));
   const auto second = log.Answer(MakeRequestAfter(first, 3), 0ms);
-  cr_assert(!second.full && second.config.empty());
+  cr_assert(!second.isFullList && second.config.empty());
   cr_assert(second.upstreams.size() == 1 && second.upstreams[0].id == "c");
   cr_assert(second.removed == std::vector<std::string>{ "a" });
 }
@@ -50,43 +50,44 @@
 //! A router that has changed its source still has the list of the former one.
 Test(storechangelog, AFollowerWithTheSameListGetsNoUpstreams)
 {
-  NewsLog one(7);
-  NewsLog other(8);
+  StoreChangeLog one(7);
+  StoreChangeLog other(8);
   one.SetUpstreams(Entries({ "a", "b" }));
   other.SetUpstreams(Entries({ "b" }));
   other.SetUpstreams(Entries({ "a", "b" }));
-  const NewsAsk request{ 0, 0, 0, one.Digest() };
+  const StoreUpdateRequest request{ 0, 0, 0, one.Digest() };
   cr_assert(one.Digest() != 0 && one.Digest() == other.Digest());
-  cr_assert(!other.WantsAll(request));
+  cr_assert(!other.NeedsFullList(request));
   const auto update = other.Answer(request, 0ms);
-  cr_assert(!update.full && update.upstreams.empty() && update.removed.empty());
+  cr_assert(!update.isFullList && update.upstreams.empty() &&
+            update.removed.empty());
   const auto next = MakeRequestAfter(update, 0);
-  cr_assert(!other.HasNews(next));
+  cr_assert(!other.HasUpdateFor(next));
   auto entries = Entries({ "a", "b" });
   entries["a"].draining = true;
   other.SetUpstreams(entries);
-  cr_assert(other.WantsAll(request));
+  cr_assert(other.NeedsFullList(request));
   cr_assert(other.Answer(next, 0ms).upstreams.size() == 1);
 }
 
 Test(storechangelog, ALogWithoutAListHasNoDigest)
 {
-  NewsLog empty(7);
-  NewsLog listed(8);
+  StoreChangeLog empty(7);
+  StoreChangeLog listed(8);
   listed.SetUpstreams({});
   cr_assert(empty.Digest() == 0);
   cr_assert(listed.Digest() != 0);
-  cr_assert(listed.WantsAll({ 0, 0, 0, empty.Digest() }));
+  cr_assert(listed.NeedsFullList({ 0, 0, 0, empty.Digest() }));
 }
 
 Test(storechangelog, AChangedEntryIsSentAgain)
 {
-  NewsLog log(7);
+  StoreChangeLog log(7);
   auto entries = Entries({ "a" });
   log.SetUpstreams(entries);
   const auto first = log.Answer({}, 0ms);
   log.SetUpstreams(entries);
-  cr_assert(!log.HasNews(MakeRequestAfter(first, 0)));
+  cr_assert(!log.HasUpdateFor(MakeRequestAfter(first, 0)));
   entries["a"].draining = true;
   log.SetUpstreams(entries);
   const auto second = log.Answer(MakeRequestAfter(first, 0), 0ms);
@@ -95,7 +96,7 @@
 
 Test(storechangelog, AnOlderConfigurationIsIgnored)
 {
-  NewsLog log(7);
+  StoreChangeLog log(7);
   log.SetConfig(3, "three");
   log.SetConfig(2, "two");
   cr_assert(log.Answer({}, 0ms).config == "three");
@@ -106,9 +107,9 @@
 Test(storechangelog, AFollowerGetsTheSameUpstreams)
 {
   rc::check([] {
-    NewsLog log(7);
+    StoreChangeLog log(7);
     std::map<std::string, UpstreamEntry> followed;
-    NewsAsk request;
+    StoreUpdateRequest request;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
       const auto ids = *rc::gen::container<std::vector<std::string>>(
@@ -118,7 +119,7 @@
         continue;
       }
       const auto update = log.Answer(request, 0ms);
-      if (update.full) {
+      if (update.isFullList) {
         followed.clear();
       }
       for (const auto& entry : update.upstreams) {
@@ -138,13 +139,13 @@
 Test(storechangelog,
      AFollowerThatIsTooFarBehindOrOfAnEarlierIncarnationGetsEverything)
 {
-  NewsLog log(7);
+  StoreChangeLog log(7);
   log.SetUpstreams(Entries({ "a" }));
   const auto first = log.Answer({}, 0ms);
-  cr_assert(log.Answer({ 6, first.sequence, 0 }, 0ms).full);
-  cr_assert(log.Answer({ 7, first.sequence + 9, 0 }, 0ms).full);
+  cr_assert(log.Answer({ 6, first.sequence, 0 }, 0ms).isFullList);
+  cr_assert(log.Answer({ 7, first.sequence + 9, 0 }, 0ms).isFullList);
   for (int i = 0; i < 2000; ++i) {
     log.SetUpstreams(Entries({ i % 2 == 0 ? "b" : "c" }));
   }
-  cr_assert(log.Answer(MakeRequestAfter(first, 0), 0ms).full);
+  cr_assert(log.Answer(MakeRequestAfter(first, 0), 0ms).isFullList);
 }
--- a/src/fleet/tests/storeeratests.cpp
+++ b/src/fleet/tests/storeeratests.cpp
@@ -15,7 +15,7 @@
 Test(storeera, TheFirstEraThatARouterSeesIsSettled)
 {
   StoreEra era;
-  cr_assert(era.Seen(7, kNow));
+  cr_assert(era.Observe(7, kNow));
   cr_assert(era.IsSettled(kNow));
   cr_assert(!era.Age(kNow));
 }
@@ -23,19 +23,19 @@
 Test(storeera, ANewEraIsSettledAfterTheRewriteGracePeriod)
 {
   StoreEra era;
-  era.Seen(7, kNow);
-  cr_assert(era.Seen(8, kNow + 10ms));
-  cr_assert(!era.IsSettled(kNow + kRewriteGrace));
-  cr_assert(era.IsSettled(kNow + 10ms + kRewriteGrace));
+  era.Observe(7, kNow);
+  cr_assert(era.Observe(8, kNow + 10ms));
+  cr_assert(!era.IsSettled(kNow + kRewriteGracePeriod));
+  cr_assert(era.IsSettled(kNow + 10ms + kRewriteGracePeriod));
   cr_assert(*era.Age(kNow + 110ms) == 100ms);
-  cr_assert(!era.Age(kNow + 11ms + kEraTold));
+  cr_assert(!era.Age(kNow + 11ms + kEraReportTime));
 }
 
 Test(storeera, AnAnswerOfAnEarlierEraIsRejected)
 {
   StoreEra era;
-  era.Seen(8, kNow);
-  cr_assert(!era.Seen(7, kNow + 10ms));
+  era.Observe(8, kNow);
+  cr_assert(!era.Observe(7, kNow + 10ms));
   cr_assert(era.Era() == 8);
 }
 
@@ -44,12 +44,12 @@
 Test(storeera, AnEraReportedByAnotherRouterSettlesFromWhenItBegan)
 {
   StoreEra era;
-  era.Told(8, 300ms, kNow);
-  cr_assert(era.Seen(8, kNow));
+  era.Learn(8, 300ms, kNow);
+  cr_assert(era.Observe(8, kNow));
   cr_assert(!era.IsSettled(kNow));
-  cr_assert(era.IsSettled(kNow - 300ms + kRewriteGrace));
-  era.Told(8, 800ms, kNow); // another router saw the era begin earlier
-  cr_assert(era.SettledAt() == kNow - 800ms + kRewriteGrace);
-  era.Told(7, 100ms, kNow);
+  cr_assert(era.IsSettled(kNow - 300ms + kRewriteGracePeriod));
+  era.Learn(8, 800ms, kNow); // another router saw the era begin earlier
+  cr_assert(era.SettledAt() == kNow - 800ms + kRewriteGracePeriod);
+  era.Learn(7, 100ms, kNow);
   cr_assert(era.Era() == 8);
 }
--- a/src/fleet/tests/suitabilitytests.cpp
+++ b/src/fleet/tests/suitabilitytests.cpp
@@ -39,7 +39,7 @@
       entries.push_back(entry);
     }
     fleet.Upstreams().Replace(entries, now);
-    fleet.FollowUpstreams(now);
+    fleet.UpdateUpstreams(now);
   }
 
   std::uint64_t lastPrefix = 0;
@@ -56,7 +56,7 @@
       const auto place = Place(request);
       if (place.outcome == PlaceOutcome::Placed) {
         used.insert(place.upstreamId);
-        fleet.Ended(place.attempt, AttemptEnd::Answered, now);
+        fleet.EndAttempt(place.attempt, AttemptOutcome::Answered, now);
       }
     }
     return used;
--- a/src/fleet/tests/upstreamtests.cpp
+++ b/src/fleet/tests/upstreamtests.cpp
@@ -19,7 +19,7 @@
   cr_assert(after.upstream != first.upstream);
   cr_assert(after.missingTokens == kPromptTokens);
   cr_assert(after.running == 0 && after.unreadTokens == 0);
-  fixture.fleet.Ended(first.attempt, AttemptEnd::Broken, fixture.now);
+  fixture.fleet.EndAttempt(first.attempt, AttemptOutcome::Broken, fixture.now);
   cr_assert(fixture.Place(fixture.MakeRequest(8)).running == 1);
 }
 
@@ -30,11 +30,11 @@
   fixture.ListEngine(2000);
   PeerReport report;
   report.router = "r2";
-  report.life = 1;
+  report.incarnation = 1;
   report.sequence = 1;
   report.loads = { { UpstreamIdOf("u0", 1000), 50000, 20 } };
-  report.uses = { { 7, UpstreamIdOf("u0", 1000) } };
-  fixture.fleet.Take(report, fixture.now);
+  report.prefixUses = { { 7, UpstreamIdOf("u0", 1000) } };
+  fixture.fleet.ApplyReport(report, fixture.now);
   const auto place = fixture.Place(fixture.MakeRequest(7));
   cr_assert(place.running == 0);
   cr_assert(place.missingTokens == kPromptTokens);
@@ -48,7 +48,7 @@
   bad.id = "u0";
   bad.usable = false;
   fixture.fleet.Upstreams().Put(bad);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   for (std::uint64_t prefix = 0; prefix < 6; ++prefix) {
     cr_assert(fixture.Place(fixture.MakeRequest(prefix)).upstreamId == "u1");
   }
@@ -64,7 +64,7 @@
   draining.service = "engines";
   draining.draining = true;
   fixture.fleet.Upstreams().Put(draining);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   for (int i = 0; i < 20; ++i) {
     cr_assert(fixture.Place(fixture.MakeRequest(7)).upstreamId !=
               first.upstreamId);
@@ -78,14 +78,15 @@
   FleetFixture fixture;
   fixture.ListUpstreams(2);
   fixture.fleet.Upstreams().Remove("u0", fixture.now);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   for (std::uint64_t i = 0; i < 20; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u1");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
   fixture.fleet.Upstreams().Remove("u1", fixture.now);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   cr_assert(fixture.Place(fixture.MakeRequest(1)).outcome ==
             PlaceOutcome::NoUpstream);
 }
--- a/src/fleet/tests/warmuptests.cpp
+++ b/src/fleet/tests/warmuptests.cpp
@@ -42,7 +42,7 @@
     for (auto now = 0ms; now < 5000ms; now += 5ms) {
       for (auto& router : routers) {
         if (router.MaySend(kUpstream, kColdPerSecond, now)) {
-          router.Sent(kUpstream, now);
+          router.RecordRequest(kUpstream, now);
           sent.push_back(now);
         }
       }
@@ -70,12 +70,12 @@
   Membership members(address(aSelf), 1, { address(0), address(1) });
   for (std::size_t i = 0; i < aAll; ++i) {
     if (i != aSelf) {
-      members.Heard(address(i), 1, 0ms);
+      members.RecordReport(address(i), 1, 0ms);
     }
   }
   for (std::size_t i = 0; i < aHeard; ++i) {
     if (i != aSelf) {
-      members.Heard(address(i), 1, aNow);
+      members.RecordReport(address(i), 1, aNow);
     }
   }
   members.Forget(aNow);
@@ -100,14 +100,14 @@
   ColdFixture()
   {
     auto config = std::make_shared<FleetConfig>(*MakeConfig(2));
-    config->services["engines"].coldPerSecond = kColdPerSecond;
+    config->services["engines"].coldRequestsPerSecond = kColdPerSecond;
     fleet.SetConfig(config);
   }
 
   void Put(const UpstreamEntry& aEntry)
   {
     fleet.Upstreams().Put(aEntry);
-    fleet.FollowUpstreams(now);
+    fleet.UpdateUpstreams(now);
   }
 
   //! Makes this router the owner of all cold upstreams.
@@ -150,7 +150,7 @@
 {
   WarmUpFleet fleet;
   for (std::size_t i = 0; i < 67; ++i) {
-    fleet.Add(RoutersKnownTo(i, 67, 67, kRoutersSettle / 2));
+    fleet.Add(RoutersKnownTo(i, 67, 67, kMembershipSettleTime / 2));
   }
   cr_assert(fleet.MaxInASecond() == 0);
 }
@@ -159,7 +159,7 @@
 {
   WarmUpFleet fleet;
   for (std::size_t i = 0; i < 67; ++i) {
-    fleet.Add(RoutersKnownTo(i, 67, 67, kRoutersSettle));
+    fleet.Add(RoutersKnownTo(i, 67, 67, kMembershipSettleTime));
   }
   const auto max = fleet.MaxInASecond();
   cr_assert(max > 0 && static_cast<double>(max) <= kMaxInASecond);
@@ -200,14 +200,16 @@
   for (std::uint64_t i = 0; i < 30; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u0");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
   fixture.now += 3000ms;
   bool used = false;
   for (std::uint64_t i = 100; i < 130; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     used = used || place.upstreamId == "cold";
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
   cr_assert(used);
 }
@@ -223,7 +225,8 @@
   for (std::uint64_t i = 0; i < 30; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "b");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
 }
 
@@ -252,15 +255,16 @@
   entry.zone = "zone-b";
   fixture.Put(entry);
   fixture.fleet.Evacuated().Put({ "zone-b", 3 }, fixture.now);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   fixture.now += 5000ms;
   fixture.fleet.Evacuated().Remove("zone-b");
   fixture.fleet.Evacuated().Proven(fixture.now);
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   for (std::uint64_t i = 0; i < 30; ++i) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     cr_assert(place.upstreamId == "u0");
-    fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+    fixture.fleet.EndAttempt(
+      place.attempt, AttemptOutcome::Answered, fixture.now);
   }
   const auto cold = fixture.fleet.Status(fixture.now).at(0).coldFor +
                     fixture.fleet.Status(fixture.now).at(1).coldFor;
@@ -276,15 +280,16 @@
   const auto refused = fixture.Place(fixture.MakeRequest(1));
   cr_assert(refused.outcome == PlaceOutcome::NoUpstream);
   cr_assert(refused.suitability == Suitability::Cold);
-  cr_assert(refused.retryAfter == kNoUpstreamWaitMost);
+  cr_assert(refused.retryAfter == kMaxNoUpstreamRetryAfter);
   fixture.OwnAll();
   int placed = 0;
   for (int i = 0; i < 400; ++i, fixture.now += 5ms) {
     const auto place = fixture.Place(fixture.MakeRequest(i));
     if (place.outcome == PlaceOutcome::Placed) {
       placed++;
-      fixture.fleet.FirstToken(place.attempt, fixture.now);
-      fixture.fleet.Ended(place.attempt, AttemptEnd::Answered, fixture.now);
+      fixture.fleet.RecordFirstToken(place.attempt, fixture.now);
+      fixture.fleet.EndAttempt(
+        place.attempt, AttemptOutcome::Answered, fixture.now);
     }
   }
   cr_assert(placed >= 4 && placed <= 2 * kColdPerSecond + 1,
@@ -297,7 +302,7 @@
 {
   FleetFixture fixture;
   fixture.fleet.Upstreams().Put(ColdEntry("a", 3000ms));
-  fixture.fleet.FollowUpstreams(fixture.now);
+  fixture.fleet.UpdateUpstreams(fixture.now);
   cr_assert(fixture.Place(fixture.MakeRequest(1)).outcome ==
             PlaceOutcome::Placed);
 }
--- a/src/fleet/upstreamhealth.h
+++ b/src/fleet/upstreamhealth.h
@@ -24,7 +24,7 @@
   //! Weighted ratio of failures among the recent answers, from 0 to 1. It
   //! decays over time; otherwise an upstream that gets no requests because of
   //! its failures would never get one again.
-  double FailurePart(TimePoint aNow) const;
+  double FailureRatio(TimePoint aNow) const;
 
 private:
   void UpdateRatio(double aFailure, TimePoint aNow);
--- a/src/fleet/upstreamlist.h
+++ b/src/fleet/upstreamlist.h
@@ -14,7 +14,7 @@
 {
   Listed,    //!< added, or usable again
   Draining,  //!< gets no new work
-  Lapsed,    //!< expired during an outage of the store; may be renewed
+  Expired,   //!< expired during an outage of the store; may be renewed
   Gone,      //!< removed
   Restarted, //!< a later incarnation under the same id
   Outdated,  //!< of an earlier incarnation than the known one; ignored
@@ -40,8 +40,8 @@
 //! The upstreams that the platform's store lists. While the store is
 //! unreachable, upstreams can't renew their entries, so that entries expire
 //! although their upstreams serve. Entries that are missing when the store is
-//! reachable again are therefore kept for kLapseGrace. Entries that are removed
-//! later, or of upstreams that are draining, get no new work at once.
+//! reachable again are therefore kept for kExpiryGracePeriod. Entries that are
+//! removed later, or of upstreams that are draining, get no new work at once.
 class UpstreamList
 {
 public:
--- a/src/fleet/warmup.h
+++ b/src/fleet/warmup.h
@@ -49,7 +49,7 @@
   //! second that the upstream allows while it is cold.
   bool MaySend(UpstreamId aUpstream, double aPerSecond, TimePoint aNow) const;
   //! Records a request that was sent.
-  void Sent(UpstreamId aUpstream, TimePoint aNow);
+  void RecordRequest(UpstreamId aUpstream, TimePoint aNow);
   //! Requests per second that this router may send; 0 if it is not the owner.
   double RatePerSecond(UpstreamId aUpstream, double aPerSecond) const;
   //! Drops send times that no longer affect MaySend.
--- a/src/fleet/passlevel.h
+++ b/src/fleet/workspacethrottle.h
@@ -14,10 +14,10 @@
 //! compute the same limit without knowing what the others send right now. Small
 //! fleets don't use it: there the waits are known well enough, and the limit is
 //! only an estimate.
-class PassLevel
+class WorkspaceThrottle
 {
 public:
-  PassLevel();
+  WorkspaceThrottle();
 
   //! Recomputes the limit. aRates: sums over the fleet. aCapacity: tokens per
   //! second to admit, counted as in aRates; infinity: no limit.
@@ -25,9 +25,9 @@
   //! Whether one more request of aWorkspace is admitted, which uses up its
   //! credit. A workspace whose demand is twice the limit passes with every
   //! second request.
-  bool Pass(WorkspaceId aWorkspace);
+  bool TryAdmit(WorkspaceId aWorkspace);
   //! Greatest rate that is admitted of any workspace, in tokens per second.
-  double Level() const { return m_level; }
+  double Limit() const { return m_level; }
 
 private:
   double AdmittedRatioOf(const WorkspaceRate& aRate) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -3,14 +3,14 @@
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
-#include "fleet/queuelimit.h"
-#include "gateway/icallerdialect.h"
-#include "gateway/istoredialect.h"
-#include "gateway/iupstreamdialect.h"
-#include "gateway/newsfollower.h"
-#include "gateway/newsserver.h"
+#include "fleet/acceptqueuelimit.h"
+#include "gateway/icallercodec.h"
+#include "gateway/istorecodec.h"
+#include "gateway/iupstreamcodec.h"
 #include "gateway/peerlink.h"
 #include "gateway/storefollower.h"
+#include "gateway/storeupdatefollower.h"
+#include "gateway/storeupdateserver.h"
 
 #include <fmt/format.h>
 
@@ -31,7 +31,7 @@
 constexpr base::Duration kFastTickInterval = fleet::kExchangeStep;
 //! Resolution of the time limits of connections; also how often the readiness
 //! and the upstreams' leases are checked.
-constexpr base::Duration kSlowTickInterval = fleet::kReportPeriod;
+constexpr base::Duration kSlowTickInterval = fleet::kReportInterval;
 //! Interval of the log line about the requests that a busy router receives.
 constexpr base::Duration kIntakeLogInterval = 1000ms;
 //! A longer gap between two fast ticks is logged as a stall of the process.
@@ -57,10 +57,10 @@
   fleet::FleetSettings settings;
   settings.router = aSettings.id;
   settings.zone = aSettings.zone;
-  settings.life = aIncarnation;
+  settings.incarnation = aIncarnation;
   settings.placement = aSettings.placement;
   settings.revocationBound = aSettings.revocationBound;
-  settings.lapseAfter = 2 * aSettings.heartbeat;
+  settings.entryTtl = 2 * aSettings.upstreamHeartbeatInterval;
   settings.retryRatio = aSettings.retryRatio;
   settings.retrySlack = aSettings.retrySlack;
   settings.retryWindow = aSettings.retryWindow;
@@ -103,11 +103,11 @@
 
 Gateway::Gateway(eventloop::EventLoop& aLoop,
                  const GatewaySettings& aSettings,
-                 const Dialects& aDialects,
+                 const Codecs& aCodecs,
                  std::uint64_t aIncarnation)
   : m_loop(aLoop)
   , m_settings(aSettings)
-  , m_dialects(aDialects)
+  , m_codecs(aCodecs)
   , m_fleet(MakeFleetSettings(aSettings, aIncarnation))
   , m_logBudget(aSettings.loggedPerSecond)
   , m_pool(aLoop)
@@ -120,7 +120,7 @@
   , m_storeChangeLog(aIncarnation)
   , m_membership(aSettings.peerListen,
                  base::HashName(aSettings.zone),
-                 SeedsOf(aSettings))
+                 SeedPeerAddresses(aSettings))
   , m_intakeLoggedAt(aLoop.Now())
   , m_startedAt(aLoop.Now())
   , m_lastTick(m_startedAt)
@@ -134,7 +134,7 @@
 {
   UpdateSourceOptions(m_membership.Plan(m_startedAt), m_startedAt);
   OpenSource();
-  m_storeUpdateServer = std::make_unique<NewsServer>(
+  m_storeUpdateServer = std::make_unique<StoreUpdateServer>(
     m_loop,
     m_settings.controlListen,
     m_storeChangeLog,
@@ -156,7 +156,7 @@
     m_loop,
     m_settings.callersListen,
     [this](const ACE_SOCK_Stream& aStream) { Accept(aStream); },
-    fleet::QueueLimit(m_settings.processorShare));
+    fleet::AcceptQueueLimit(m_settings.processorShare));
   m_loop.Subscribe(kFastTickInterval, [this] { TickFast(); });
   m_loop.Subscribe(kSlowTickInterval, [this] { TickSlow(); });
 }
@@ -189,10 +189,10 @@
   if (m_stopBeganAt || m_connections.Size() > kMaxKeepAliveConnections) {
     aConnection.CloseAfterAnswer();
   }
-  const ExchangeDependencies dependencies{
-    m_loop, m_fleet,   m_dialects.callers, m_dialects.upstreams,
-    m_pool, m_metrics, m_logBudget
-  };
+  const ExchangeDependencies dependencies{ m_loop,           m_fleet,
+                                           m_codecs.callers, m_codecs.upstreams,
+                                           m_pool,           m_metrics,
+                                           m_logBudget };
   m_intake.read++;
   auto exchange = std::make_unique<Exchange>(dependencies, *this, aConnection);
   auto* key = exchange.get();
@@ -207,9 +207,9 @@
   aConnection.context = nullptr;
   m_metrics.Count("bad_requests_total");
   LogLine("bad-request").Add("why", http::kFaultNames.NameOf(aFault)).Warn();
-  const OwnAnswer reply{ RefusalForFault(aFault), Verdict::NotRun, {}, "" };
+  const LocalReply reply{ RefusalForFault(aFault), Verdict::NotRun, {}, "" };
   aConnection.BeginAnswer(
-    m_dialects.callers.EncodeOwn(reply), http::Framing::Length, 0);
+    m_codecs.callers.EncodeLocalReply(reply), http::Framing::Length, 0);
   aConnection.EndAnswer();
 }
 
@@ -272,13 +272,13 @@
       aSettings.controlListen == m_settings.controlListen &&
       aSettings.peerListen == m_settings.peerListen &&
       aSettings.store == m_settings.store && aSettings.id == m_settings.id);
-  m_settings.grace = aSettings.grace;
+  m_settings.stopGracePeriod = aSettings.stopGracePeriod;
   m_logBudget = base::LogBudget(aSettings.loggedPerSecond);
   m_fleet.Reconfigure(MakeFleetSettings(aSettings, 0));
   LogLine("settings-reloaded")
     .Add("restart_needed", needsRestart ? "yes" : "no")
     .Add("revocation_bound_ms", aSettings.revocationBound.count())
-    .Add("stop_grace_ms", aSettings.grace.count())
+    .Add("stop_grace_ms", aSettings.stopGracePeriod.count())
     .Info();
 }
 
@@ -311,7 +311,7 @@
   }
   const bool allClosed = IsClosing() && m_connections.Size() == 0;
   const bool killIsNear =
-    aNow - *m_stopBeganAt > m_settings.grace - kAbortTimeBeforeKill;
+    aNow - *m_stopBeganAt > m_settings.stopGracePeriod - kAbortTimeBeforeKill;
   if (!allClosed && !killIsNear) {
     return;
   }
@@ -343,7 +343,7 @@
 Gateway::HandleCheckResult(base::UpstreamId aUpstream,
                            quarantine::CheckResult aResult)
 {
-  const auto notice = m_fleet.Checked(aUpstream, aResult, m_loop.Now());
+  const auto notice = m_fleet.RecordCheck(aUpstream, aResult, m_loop.Now());
   const auto result =
     std::string(quarantine::kCheckResultNames.NameOf(aResult));
   m_metrics.Count("upstream_checks_total{result=\"" + result + "\"}");
@@ -381,7 +381,7 @@
   UpdateListenerPause();
   const auto timeOfDay = TimeOfDay();
   const auto period =
-    static_cast<std::uint64_t>(timeOfDay / fleet::kReportPeriod);
+    static_cast<std::uint64_t>(timeOfDay / fleet::kReportInterval);
   for (const auto stage : m_exchangeClock.Due(timeOfDay)) {
     SendReports(stage, period, now);
   }
@@ -398,7 +398,7 @@
   const auto elapsed = aNow - m_intakeLoggedAt;
   m_intakeLoggedAt = aNow;
   const auto counts = std::exchange(m_intake, {});
-  const bool busy = m_loop.BusyFor() > fleet::kBusyAfter;
+  const bool busy = m_loop.BusyFor() > fleet::kBusyThreshold;
   if (!busy && !m_listener->IsPaused()) {
     return;
   }
@@ -410,7 +410,7 @@
     .Add("connections", static_cast<std::uint64_t>(m_connections.Size()))
     .Add("room", m_listener->IsPaused() ? "no" : "yes")
     .Add("busy_ms", m_loop.BusyFor().count())
-    .Add("busy_part", m_fleet.BusyPart())
+    .Add("busy_part", m_fleet.BusyRatio())
     .Info();
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -5,15 +5,15 @@
 #include "fleet/exchangeclock.h"
 #include "fleet/fleet.h"
 #include "fleet/membership.h"
-#include "fleet/newslog.h"
 #include "fleet/sourceoptions.h"
-#include "fleet/sourcepolicy.h"
+#include "fleet/sourceselector.h"
+#include "fleet/storechangelog.h"
 #include "fleet/storeera.h"
 #include "gateway/callerintake.h"
 #include "gateway/gatewaysettings.h"
 #include "gateway/gatewaytypes.h"
-#include "gateway/inewssource.h"
 #include "gateway/internal/exchange.h"
+#include "gateway/istoreupdatesource.h"
 #include "gateway/probeserver.h"
 #include "gateway/upstreamchecks.h"
 #include "gateway/upstreampool.h"
@@ -33,19 +33,19 @@
 
 namespace hemlockgauge::gateway {
 
-class ICallerDialect;
-class IStoreDialect;
-class IUpstreamDialect;
-class NewsServer;
+class ICallerCodec;
+class IStoreCodec;
+class IUpstreamCodec;
+class StoreUpdateServer;
 class PeerLink;
 
 //! Codecs between the gateway's types and the formats of callers, upstreams and
 //! the platform's store.
-struct Dialects
+struct Codecs
 {
-  const ICallerDialect& callers;
-  const IUpstreamDialect& upstreams;
-  const IStoreDialect& store;
+  const ICallerCodec& callers;
+  const IUpstreamCodec& upstreams;
+  const IStoreCodec& store;
 };
 
 //! The router process between callers and upstreams. Runs on one thread with
@@ -53,12 +53,12 @@
 class Gateway
   : public http::IServerEvents
   , public IExchangeOwner
-  , public INewsEvents
+  , public IStoreUpdateEvents
 {
 public:
   Gateway(eventloop::EventLoop& aLoop,
           const GatewaySettings& aSettings,
-          const Dialects& aDialects,
+          const Codecs& aCodecs,
           std::uint64_t aIncarnation);
   ~Gateway() override;
 
@@ -76,7 +76,7 @@
   bool IsReady() const;
   bool IsStopped() const { return m_stopped; }
   //! Number of requests that the stop aborted.
-  std::size_t Cut() const { return m_requestsAborted; }
+  std::size_t RequestsAborted() const { return m_requestsAborted; }
 
   void OnRequest(http::ServerConnection& aConnection,
                  http::RequestHead&& aHead,
@@ -90,13 +90,14 @@
   void OnFinished(Exchange& aExchange) override;
   bool IsClosing() const override;
 
-  void OnStoredConfig(const std::string& aBytes) override;
-  void OnListed(const std::vector<fleet::UpstreamEntry>& aEntries) override;
-  void OnUpstream(const fleet::UpstreamEntry& aEntry) override;
-  void OnRemoved(const std::string& aId) override;
-  void OnEvacuations(const std::vector<fleet::Evacuation>& aAll) override;
-  void OnEvacuated(const fleet::Evacuation& aEvacuation) override;
-  void OnRestored(const std::string& aZone) override;
+  void OnConfigStored(const std::string& aBytes) override;
+  void OnUpstreamsListed(
+    const std::vector<fleet::UpstreamEntry>& aEntries) override;
+  void OnUpstreamChanged(const fleet::UpstreamEntry& aEntry) override;
+  void OnUpstreamRemoved(const std::string& aId) override;
+  void OnEvacuationsListed(const std::vector<fleet::Evacuation>& aAll) override;
+  void OnZoneEvacuated(const fleet::Evacuation& aEvacuation) override;
+  void OnZoneRestored(const std::string& aZone) override;
   void OnProven(base::TimePoint aAt) override;
   void OnStoreLost(const std::string& aWhy) override;
   void OnStoreReached(base::TimePoint aAt) override;
@@ -137,7 +138,7 @@
 
   eventloop::EventLoop& m_loop;
   GatewaySettings m_settings;
-  Dialects m_dialects;
+  Codecs m_codecs;
   metrics::Metrics m_metrics;
   fleet::Fleet m_fleet;
   base::LogBudget m_logBudget;
@@ -146,24 +147,24 @@
   base::CallerLimits m_limits;
   http::ConnectionSet m_connections;
   std::map<Exchange*, std::unique_ptr<Exchange>> m_exchanges;
-  fleet::NewsLog m_storeChangeLog;
+  fleet::StoreChangeLog m_storeChangeLog;
   //! When this router last got a response from the store itself.
   base::TimePoint m_storeAnsweredAt{ base::TimePoint::min() / 2 };
   bool m_upstreamListChanged =
     false; //!< since the last call of ApplyUpstreamList
-  fleet::SourcePolicy m_sourceSelector;
+  fleet::SourceSelector m_sourceSelector;
   fleet::StoreEra m_storeEra;
   //! Version of the configuration that the current source sent last.
   std::optional<std::uint64_t> m_storedConfigVersion;
-  fleet::KnownReader m_freshestReader;
+  fleet::FreshestReader m_freshestReader;
   //! The store was last known to hold the content of m_storeChangeLog at this
   //! time. API keys may have been confirmed later, by reports of other routers,
   //! which say nothing about upstreams.
   base::TimePoint m_storeProvenAt{ base::TimePoint::min() / 2 };
-  std::optional<fleet::NewsSource>
+  std::optional<fleet::StoreSource>
     m_openSource; //!< the source that m_storeUpdateSource follows
-  std::unique_ptr<INewsSource> m_storeUpdateSource;
-  std::unique_ptr<NewsServer> m_storeUpdateServer;
+  std::unique_ptr<IStoreUpdateSource> m_storeUpdateSource;
+  std::unique_ptr<StoreUpdateServer> m_storeUpdateServer;
   fleet::Membership m_membership;
   std::unique_ptr<PeerLink> m_peerLink;
   fleet::ExchangeClock m_exchangeClock;
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -71,7 +71,8 @@
   aSettings.probeListen = aReader.Address("probe_listen");
   aSettings.controlListen = aReader.Address("control_listen");
   aSettings.peerListen = aReader.Address("peer_listen");
-  aSettings.grace = ReadMillis(aReader, "stop_grace_ms", aSettings.grace);
+  aSettings.stopGracePeriod =
+    ReadMillis(aReader, "stop_grace_ms", aSettings.stopGracePeriod);
   aSettings.processorShare = aReader.RealOr(
     "processor_share", 0, kMaxProcessorShare, aSettings.processorShare);
   aSettings.logLevel = aReader.TextOr("log_level", "info");
@@ -88,8 +89,8 @@
 ReadStore(SectionReader aReader, GatewaySettings& aSettings)
 {
   aSettings.store = aReader.Address("address");
-  aSettings.heartbeat =
-    ReadMillis(aReader, "upstream_heartbeat_ms", aSettings.heartbeat);
+  aSettings.upstreamHeartbeatInterval = ReadMillis(
+    aReader, "upstream_heartbeat_ms", aSettings.upstreamHeartbeatInterval);
   aSettings.revocationBound =
     ReadMillis(aReader, "revocation_bound_ms", aSettings.revocationBound);
   aReader.Finish();
@@ -148,7 +149,7 @@
 }
 
 std::vector<base::Address>
-SeedsOf(const GatewaySettings& aSettings)
+SeedPeerAddresses(const GatewaySettings& aSettings)
 {
   std::vector<base::Address> seeds;
   for (const auto& seed : aSettings.seeds) {
--- a/src/gateway/gatewaysettings.h
+++ b/src/gateway/gatewaysettings.h
@@ -27,13 +27,13 @@
   //! How long a starting router waits for the store's content from a seed
   //! before it reads the store itself. Longer at the first start of the whole
   //! system: no caller waits then, and seeds may start after the other routers.
-  base::Duration seedWait = fleet::kStartPatience;
+  base::Duration seedWait = fleet::kDefaultSeedWait;
   //! Time within which a withdrawn API key must stop working; 0 if unbounded.
   base::Duration revocationBound{};
   //! Interval at which upstreams renew their entries in the store.
-  base::Duration heartbeat{ 1200 };
+  base::Duration upstreamHeartbeatInterval{ 1200 };
   //! Time from the request to stop until the process is killed.
-  base::Duration grace{ 8000 };
+  base::Duration stopGracePeriod{ 8000 };
   //! CPU cores available to this process; may be a fraction.
   double processorShare = 1;
   double retryRatio = 0.2; //!< of the fleet, per request in retryWindow
@@ -52,7 +52,7 @@
 //! Returns the addresses at which the seeds receive reports. The settings hold
 //! their control addresses; the report port is the same at all routers.
 std::vector<base::Address>
-SeedsOf(const GatewaySettings& aSettings);
+SeedPeerAddresses(const GatewaySettings& aSettings);
 
 //! Parses the text of a settings file. Throws Error with the file, line, key
 //! and expected value.
--- a/src/gateway/gatewaytypes.h
+++ b/src/gateway/gatewaytypes.h
@@ -31,7 +31,7 @@
   fleet::Work work;
   //! Header fields forwarded unchanged: without hop-by-hop fields and those
   //! that the router sets.
-  std::vector<http::HeaderField> passed;
+  std::vector<http::HeaderField> forwardedHeaders;
   std::string body;
   bool hasBody = false;
 
@@ -54,19 +54,20 @@
 };
 
 //! An upstream's response as decoded from its head.
-struct UpstreamAnswer
+struct UpstreamResponse
 {
   int status = 0;
   std::string reason;
   std::string requestId;    //!< request that it answers; empty if not given
   bool notRun = false;      //!< the upstream states that it ran nothing
   bool misdirected = false; //!< a different upstream has this address
-  bool hasProof = false;    //!< has the seal that a successful response needs
+  bool hasResponseSeal =
+    false; //!< has the seal that a successful response needs
   bool isEventStream = false;
-  bool hasForeignCoding =
+  bool hasContentEncoding =
     false;              //!< has a Content-Encoding, which no upstream sets
   Duration keepAlive{}; //!< idle time of the connection; 0 if not given
-  std::vector<http::HeaderField> passed; //!< forwarded unchanged
+  std::vector<http::HeaderField> forwardedHeaders; //!< forwarded unchanged
 
   bool IsSuccess() const { return status >= 200 && status < 300; }
 };
@@ -106,7 +107,7 @@
                                "upstream-failed");
 
 //! A response that the router generates itself.
-struct OwnAnswer
+struct LocalReply
 {
   Refusal refusal = Refusal::BadRequest;
   base::Verdict verdict = base::Verdict::NotRun;
--- a/src/gateway/internal/exchange.cpp
+++ b/src/gateway/internal/exchange.cpp
@@ -3,8 +3,8 @@
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
-#include "gateway/icallerdialect.h"
-#include "gateway/iupstreamdialect.h"
+#include "gateway/icallercodec.h"
+#include "gateway/iupstreamcodec.h"
 #include "gateway/upstreampool.h"
 #include "http/serverconnection.h"
 #include "metrics/metrics.h"
@@ -15,7 +15,7 @@
 
 using base::LogLine;
 using base::Verdict;
-using fleet::AttemptEnd;
+using fleet::AttemptOutcome;
 using http::Framing;
 
 namespace {
@@ -86,8 +86,8 @@
   if (hasNoRequestId && (!ranNothing || aConnection.requests > 1)) {
     return HeadVerdict::Drop;
   }
-  const bool lacksSeal =
-    response.IsSuccess() && (!response.hasProof || response.hasForeignCoding);
+  const bool lacksSeal = response.IsSuccess() && (!response.hasResponseSeal ||
+                                                  response.hasContentEncoding);
   if (lacksSeal) {
     return HeadVerdict::Drop;
   }
@@ -130,10 +130,10 @@
 void
 Exchange::RelayStreamBytes(std::string_view aBytes)
 {
-  m_dependencies.fleet.FirstToken(m_attempt, m_dependencies.loop.Now());
+  m_dependencies.fleet.RecordFirstToken(m_attempt, m_dependencies.loop.Now());
   std::string out;
   if (!m_streamFilter.Consume(aBytes, out)) {
-    EndAttempt(AttemptEnd::Broken);
+    EndAttempt(AttemptOutcome::Broken);
     DiscardUpstream();
     AttemptFailed(Verdict::MayHaveRun, "event id out of order");
     return;
@@ -177,14 +177,14 @@
     m_dependencies.pool.Discard(aConnection);
   }
   if (m_response.notRun || m_response.misdirected) {
-    EndAttempt(AttemptEnd::Refused);
+    EndAttempt(AttemptOutcome::Refused);
     AttemptFailed(Verdict::NotRun,
                   m_response.misdirected ? "address belongs to another upstream"
                                          : "upstream did not run the request");
     return;
   }
   if (IsStream() && m_streamFilter.HasPartialEvent()) {
-    EndAttempt(AttemptEnd::Broken);
+    EndAttempt(AttemptOutcome::Broken);
     AttemptFailed(Verdict::MayHaveRun, "stream ended inside an event");
     return;
   }
@@ -197,7 +197,8 @@
 Exchange::HandleCompleteResponse()
 {
   const bool isError = m_response.status >= kMinServerErrorStatus;
-  EndAttempt(isError ? AttemptEnd::AnsweredFailure : AttemptEnd::Answered);
+  EndAttempt(isError ? AttemptOutcome::AnsweredFailure
+                     : AttemptOutcome::Answered);
   const bool mayRetry = isError && m_route->MayRunAgain();
   if (m_headSent && !IsStream() && m_isBuffering) {
     AttemptFailed(
@@ -234,25 +235,26 @@
   m_upstream = nullptr;
   m_dependencies.pool.Discard(aConnection);
   const bool notRun = aFailure == http::ClientFailure::NotConnected;
-  EndAttempt(notRun ? AttemptEnd::Unreachable : AttemptEnd::Broken);
+  EndAttempt(notRun ? AttemptOutcome::Unreachable : AttemptOutcome::Broken);
   m_mayHaveReachedUpstream = m_mayHaveReachedUpstream || !notRun;
   AttemptFailed(notRun ? Verdict::NotRun : Verdict::MayHaveRun,
                 std::string(http::kClientFailureNames.NameOf(aFailure)));
 }
 
 void
-Exchange::EndAttempt(AttemptEnd aEnd)
+Exchange::EndAttempt(AttemptOutcome aEnd)
 {
   if (m_attempt == 0) {
     return;
   }
   const auto attempt = m_attempt;
   m_attempt = 0;
-  if (m_dependencies.fleet.Ended(attempt, aEnd, m_dependencies.loop.Now())) {
+  if (m_dependencies.fleet.EndAttempt(
+        attempt, aEnd, m_dependencies.loop.Now())) {
     m_dependencies.metrics.Count("ejections_total");
     LogLine("upstream-ejected")
       .Add("upstream", m_upstreamId)
-      .Add("why", fleet::kAttemptEndNames.NameOf(aEnd))
+      .Add("why", fleet::kAttemptOutcomeNames.NameOf(aEnd))
       .Warn();
   }
 }
@@ -316,7 +318,7 @@
                          Verdict aVerdict,
                          base::Duration aRetryAfter)
 {
-  const OwnAnswer reply{ aRefusal, aVerdict, aRetryAfter, m_request.id };
+  const LocalReply reply{ aRefusal, aVerdict, aRetryAfter, m_request.id };
   const bool closesConnection =
     aRefusal == Refusal::StaleConfig || aRefusal == Refusal::NoConfig ||
     aRefusal == Refusal::Draining || aRefusal == Refusal::BadRequest;
@@ -324,7 +326,7 @@
     m_caller->CloseAfterAnswer();
   }
   m_caller->BeginAnswer(
-    m_dependencies.callers.EncodeOwn(reply), Framing::Length, 0);
+    m_dependencies.callers.EncodeLocalReply(reply), Framing::Length, 0);
   m_caller->EndAnswer();
   Finish("answered-by-router",
          0,
@@ -414,7 +416,7 @@
   if (m_finished) {
     return;
   }
-  EndAttempt(AttemptEnd::CallerGone);
+  EndAttempt(AttemptOutcome::CallerGone);
   DiscardUpstream();
   Finish("caller-gone", 0, "");
 }
@@ -429,7 +431,7 @@
     const bool hasSentBytes =
       m_upstream != nullptr && m_upstream->HasSentBytes();
     const bool mayHaveRun = m_attemptsMayHaveRun > 0 || hasSentBytes;
-    EndAttempt(AttemptEnd::CallerGone);
+    EndAttempt(AttemptOutcome::CallerGone);
     DiscardUpstream();
     if (m_headSent) {
       AbortCaller("timeout");
@@ -443,7 +445,7 @@
                                m_upstream->IsConnecting() &&
                                aNow - m_sentAt > kConnectTimeout;
   if (connectTimedOut) {
-    EndAttempt(AttemptEnd::Unreachable);
+    EndAttempt(AttemptOutcome::Unreachable);
     DiscardUpstream();
     AttemptFailed(Verdict::NotRun, "connect timeout");
   }
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -23,8 +23,8 @@
 namespace hemlockgauge::gateway {
 
 class Exchange;
-class ICallerDialect;
-class IUpstreamDialect;
+class ICallerCodec;
+class IUpstreamCodec;
 class UpstreamPool;
 
 //! Retry-After of a request that this router can't serve at the moment but that
@@ -36,8 +36,8 @@
 {
   eventloop::EventLoop& loop;
   fleet::Fleet& fleet;
-  const ICallerDialect& callers;
-  const IUpstreamDialect& upstreams;
+  const ICallerCodec& callers;
+  const IUpstreamCodec& upstreams;
   UpstreamPool& pool;
   metrics::Metrics& metrics;
   base::LogBudget& logBudget;
@@ -113,7 +113,7 @@
   void SendHead();
   void HandleCompleteResponse();
   void FinishResponse(const std::string& aWhy);
-  void EndAttempt(fleet::AttemptEnd aEnd);
+  void EndAttempt(fleet::AttemptOutcome aEnd);
   void AttemptFailed(base::Verdict aVerdict, const std::string& aWhy);
   void SendLocalReply(Refusal aRefusal,
                       base::Verdict aVerdict,
@@ -157,7 +157,7 @@
   bool m_mayHaveReachedUpstream =
     false; //!< an upstream may have received the request
 
-  UpstreamAnswer m_response;
+  UpstreamResponse m_response;
   EventStreamFilter m_streamFilter;
   std::string
     m_bufferedBody; //!< of a response that is buffered until it is complete
--- a/src/gateway/internal/exchangeplacing.cpp
+++ b/src/gateway/internal/exchangeplacement.cpp
@@ -3,8 +3,8 @@
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
-#include "gateway/icallerdialect.h"
-#include "gateway/iupstreamdialect.h"
+#include "gateway/icallercodec.h"
+#include "gateway/iupstreamcodec.h"
 #include "gateway/upstreampool.h"
 #include "http/serverconnection.h"
 #include "metrics/metrics.h"
@@ -26,7 +26,7 @@
 std::string
 SharedPrefixText(const fleet::Work& aWork)
 {
-  const auto* part = aWork.LastShared();
+  const auto* part = aWork.LastSharedPart();
   return part == nullptr ? "" : fmt::format("{:x}", part->id);
 }
 
@@ -47,7 +47,7 @@
   request.fingerprint = m_fingerprint;
   request.waited = TimeSinceArrival();
   request.timeLeft = TimeLeft(m_dependencies.loop.Now());
-  request.avoid = m_triedUpstreams;
+  request.triedUpstreams = m_triedUpstreams;
   request.busyFor = m_dependencies.loop.BusyFor();
   return request;
 }
@@ -57,7 +57,7 @@
 {
   const auto now = m_dependencies.loop.Now();
   const auto request = MakePlaceRequest();
-  m_dependencies.fleet.Arrived(request, now);
+  m_dependencies.fleet.CountArrival(request, now);
   const auto place = m_dependencies.fleet.Place(request, now);
   switch (place.outcome) {
     case fleet::PlaceOutcome::Placed:
@@ -170,7 +170,7 @@
     .Add("workspace", m_workspace)
     .Add("route", m_route->name)
     .Add("prompt_tokens", m_request.work.promptTokens)
-    .Add("own_tokens", m_request.work.OwnTokens())
+    .Add("own_tokens", m_request.work.UnsharedTokens())
     .Add("shared_part", SharedPrefixText(m_request.work))
     .Add("most_output_tokens", m_request.work.outputTokens)
     .Add("waited_ms", TimeSinceArrival().count())
@@ -179,7 +179,7 @@
     .Add("crashes", static_cast<std::uint64_t>(aPlace.crashes))
     .Add("upstream", aPlace.upstreamId)
     .Add("address", aPlace.address.Text())
-    .Add("foreseen_ms", aPlace.foreseenMs)
+    .Add("foreseen_ms", aPlace.predictedMs)
     .Add("unread_tokens", aPlace.unreadTokens)
     .Add("missing_tokens", aPlace.missingTokens)
     .Add("copied_tokens", aPlace.copiedTokens)
@@ -188,16 +188,16 @@
     .Add("rank", aPlace.rank)
     .Add("nearest", fleet::kSuitabilityNames.NameOf(aPlace.suitability))
     .Add("inside_share", aPlace.insideShare ? "yes" : "no")
-    .Add("inside_promise", aPlace.insidePromise ? "yes" : "no")
+    .Add("inside_promise", aPlace.insideNominalShare ? "yes" : "no")
     .Add("starved", aPlace.starved ? "yes" : "no")
     .Add("excess", aPlace.excess)
-    .Add("asked_per_s", std::lround(aPlace.rate.asked))
-    .Add("begun_per_s", std::lround(aPlace.rate.begun))
-    .Add("most_begun_per_s", std::lround(aPlace.mostBegun))
-    .Add("passes_level", aPlace.passesLevel ? "yes" : "no")
-    .Add("passes_call_level", aPlace.passesCallLevel ? "yes" : "no")
+    .Add("asked_per_s", std::lround(aPlace.rate.demand))
+    .Add("begun_per_s", std::lround(aPlace.rate.admitted))
+    .Add("most_begun_per_s", std::lround(aPlace.maxAdmittedRate))
+    .Add("passes_level", aPlace.passesThrottle ? "yes" : "no")
+    .Add("passes_call_level", aPlace.passesCallThrottle ? "yes" : "no")
     .Add("far_behind", aPlace.farBehind ? "yes" : "no")
-    .Add("peers_age_ms", aPlace.peersAge.count())
+    .Add("peers_age_ms", aPlace.maxReportAge.count())
     .Add("load_age_ms", aPlace.loadAge.count())
     .Add("config", m_config->version);
   if (aPlace.outcome != fleet::PlaceOutcome::Placed) {
@@ -214,7 +214,7 @@
   m_upstreamId = aPlace.upstreamId;
   m_isSameZone = aPlace.sameZone;
   m_triedUpstreams.push_back(aPlace.upstream);
-  m_response = UpstreamAnswer{};
+  m_response = UpstreamResponse{};
   m_bufferedBody.clear();
   m_isBuffering = true;
   m_hasErrorResponse = false;
--- a/src/gateway/internal/gatewaypages.cpp
+++ b/src/gateway/internal/gatewaypages.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gateway.h"
 
 #include "eventloop/eventloop.h"
-#include "gateway/newsserver.h"
+#include "gateway/storeupdateserver.h"
 
 #include <fmt/format.h>
 
@@ -18,11 +18,11 @@
   set("callers", static_cast<double>(m_connections.Size()));
   set("upstream_connections", static_cast<double>(m_pool.OpenCount()));
   set("upstream_connections_opened", static_cast<double>(m_pool.TotalOpened()));
-  set("routers_heard", static_cast<double>(m_fleet.Peers().Routers()));
+  set("routers_heard", static_cast<double>(m_fleet.Peers().RouterCount()));
   set("requests_suspected",
-      static_cast<double>(m_fleet.Quarantined().Suspects()));
+      static_cast<double>(m_fleet.Quarantined().SuspectCount()));
   set("requests_quarantined",
-      static_cast<double>(m_fleet.Quarantined().Held(aNow).size()));
+      static_cast<double>(m_fleet.Quarantined().RefusedRequests(aNow).size()));
   set("zones_evacuated",
       static_cast<double>(m_fleet.Evacuated().InForce().size()));
   set("config_version", static_cast<double>(m_fleet.ConfigVersion()));
@@ -43,7 +43,7 @@
     m_fleet.ConfigVersion(),
     m_fleet.ConfigFreshness().Age(now).count(),
     fleet::kSourceKindNames.NameOf(m_sourceSelector.Current().kind),
-    m_fleet.Peers().Routers(),
+    m_fleet.Peers().RouterCount(),
     m_exchanges.size(),
     m_connections.Size());
   for (const auto& upstream : m_fleet.Status(now)) {
@@ -59,16 +59,16 @@
                         upstream.ejected ? "yes" : "no",
                         upstream.unreadTokens,
                         upstream.running,
-                        upstream.readRate,
-                        upstream.failurePart);
+                        upstream.prefillRate,
+                        upstream.failureRatio);
   }
   for (const auto& evacuation : m_fleet.Evacuated().InForce()) {
     text += fmt::format("evacuated_zone={} revision={} upstreams={}\n",
                         evacuation.zone,
                         evacuation.revision,
-                        m_fleet.UpstreamsOfZone(evacuation.zone));
+                        m_fleet.CountUpstreamsInZone(evacuation.zone));
   }
-  for (const auto& held : m_fleet.Quarantined().Held(now)) {
+  for (const auto& held : m_fleet.Quarantined().RefusedRequests(now)) {
     text += fmt::format("quarantined={} crashes={}\n",
                         quarantine::FingerprintText(held.request),
                         held.crashes);
--- a/src/gateway/internal/gatewaynews.cpp
+++ b/src/gateway/internal/gatewaysync.cpp
@@ -4,11 +4,11 @@
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
 #include "fleet/sourceoptions.h"
-#include "gateway/istoredialect.h"
-#include "gateway/newsfollower.h"
-#include "gateway/newsserver.h"
+#include "gateway/istorecodec.h"
 #include "gateway/peerlink.h"
 #include "gateway/storefollower.h"
+#include "gateway/storeupdatefollower.h"
+#include "gateway/storeupdateserver.h"
 
 #include <algorithm>
 
@@ -50,9 +50,9 @@
   const auto now = m_loop.Now();
   const bool wasAlone = m_membership.IsAlone(now);
   if (!aReport.relayed) {
-    m_membership.Heard(aFrom, aReport.zone, now);
+    m_membership.RecordReport(aFrom, aReport.zone, now);
   }
-  m_membership.Learn(aReport.members, now);
+  m_membership.MergeMembers(aReport.members, now);
   if (wasAlone) {
     LogLine("routers-found").Add("first", aFrom.Text()).Info();
   }
@@ -60,19 +60,19 @@
     fleet::PeerReport reply;
     reply.router = m_settings.id;
     reply.zone = base::HashName(m_settings.zone);
-    reply.members = m_membership.Known(now);
+    reply.members = m_membership.Members(now);
     //! NOTE a starting router may accept requests before it receives the next
     //! regular report with the quarantined requests.
-    reply.crashNews = m_fleet.CrashNewsForStart(now);
+    reply.crashUpdates = m_fleet.CrashUpdatesForStart(now);
     m_peerLink->Send(reply, { aFrom });
   }
   if (aReport.storeEra != 0) {
-    m_storeEra.Told(aReport.storeEra, aReport.storeEraAge, now);
+    m_storeEra.Learn(aReport.storeEra, aReport.storeEraAge, now);
   }
   if (aReport.reader.port != 0) {
-    m_freshestReader.Learn(aReport.reader, now - aReport.readerAge);
+    m_freshestReader.Update(aReport.reader, now - aReport.readerAge);
   }
-  if (m_fleet.Take(aReport, now)) {
+  if (m_fleet.ApplyReport(aReport, now)) {
     RelayZoneReport(aReport);
   }
 }
@@ -87,7 +87,7 @@
   }
   auto relayed = aReport;
   relayed.relayed = true;
-  m_peerLink->Send(relayed, m_plan.relays);
+  m_peerLink->Send(relayed, m_plan.zoneHubs);
 }
 
 void
@@ -100,21 +100,22 @@
     SendOwnReport(aNow);
     return;
   }
-  if (!m_plan.SumsUp()) {
+  if (!m_plan.AggregatesReports()) {
     return;
   }
   switch (aStage) {
     case fleet::ExchangeStage::Own:
       return;
     case fleet::ExchangeStage::GroupSums:
-      m_peerLink->Send(m_fleet.TellGroup(m_ownReport, aNow), m_plan.hubs);
+      m_peerLink->Send(m_fleet.MakeGroupReport(m_ownReport, aNow),
+                       m_plan.otherGroupHubs);
       return;
     case fleet::ExchangeStage::ZoneSums:
       SendZoneSum(aNow);
       return;
     case fleet::ExchangeStage::FleetSums:
-      if (m_plan.TellsFollowers(aPeriod)) {
-        m_peerLink->Send(m_fleet.TellFleet(m_ownReport, aNow),
+      if (m_plan.SendsFleetSum(aPeriod)) {
+        m_peerLink->Send(m_fleet.MakeFleetReport(m_ownReport, aNow),
                          m_plan.followers);
       }
       return;
@@ -125,16 +126,16 @@
 Gateway::SendZoneSum(base::TimePoint aNow)
 {
   const auto sequence = m_ownReport.sequence;
-  if (!m_plan.Speaks(sequence)) {
+  if (!m_plan.SendsZoneSum(sequence)) {
     return;
   }
-  auto sum = m_fleet.TellZone(m_ownReport, aNow);
+  auto sum = m_fleet.MakeZoneReport(m_ownReport, aNow);
   sum.members.clear();
-  const auto turn = sequence / m_plan.speakers;
-  if (turn % fleet::kZoneMembersEvery == 0) {
-    sum.members = m_membership.KnownOfZone(sum.zone, aNow);
+  const auto turn = sequence / m_plan.speakerCount;
+  if (turn % fleet::kZoneSumsPerMemberList == 0) {
+    sum.members = m_membership.MembersOfZone(sum.zone, aNow);
   }
-  m_peerLink->Send(sum, m_plan.ZoneContacts(sequence));
+  m_peerLink->Send(sum, m_plan.ZoneSumTargets(sequence));
 }
 
 void
@@ -146,22 +147,22 @@
   m_plan = m_membership.Plan(aNow);
   m_fleet.SetPlan(m_plan);
   UpdateSourceOptions(m_plan, aNow);
-  m_ownReport = m_fleet.Tell(m_loop.BusyFor(), aNow);
+  m_ownReport = m_fleet.MakeReport(m_loop.BusyFor(), aNow);
   auto& report = m_ownReport;
   report.zone = base::HashName(m_settings.zone);
   if (const auto age = m_storeEra.Age(aNow)) {
     report.storeEra = m_storeEra.Era();
     report.storeEraAge = *age;
   }
-  if (const auto reader = m_freshestReader.Best(aNow)) {
+  if (const auto reader = m_freshestReader.Reader(aNow)) {
     report.reader = *reader;
     report.readerAge = m_freshestReader.ProofAge(aNow);
   }
-  if (report.sequence % fleet::kMembersEvery == 0) {
-    report.members = m_membership.Known(aNow);
+  if (report.sequence % fleet::kReportsPerMemberList == 0) {
+    report.members = m_membership.Members(aNow);
   }
-  m_peerLink->Send(report, m_plan.tell);
-  const auto seeds = m_membership.SeedsToTell(aNow);
+  m_peerLink->Send(report, m_plan.reportTargets);
+  const auto seeds = m_membership.SeedsToContact(aNow);
   if (!seeds.empty()) {
     auto request = report;
     request.wantsMembers = true;
@@ -173,10 +174,10 @@
 Gateway::UpdateSourceOptions(const fleet::ExchangePlan& aPlan,
                              base::TimePoint aNow)
 {
-  fleet::SourceView context;
+  fleet::SourceContext context;
   context.self = m_settings.peerListen;
   context.hash = base::HashName(m_settings.peerListen.Text());
-  for (const auto& seed : SeedsOf(m_settings)) {
+  for (const auto& seed : SeedPeerAddresses(m_settings)) {
     if (seed == m_settings.peerListen) {
       context.isSeed = true;
     } else {
@@ -186,7 +187,8 @@
   context.sinceStart = aNow - m_startedAt;
   context.seedWait = m_settings.seedWait;
   context.proofAge = std::min(aNow - m_storeProvenAt, context.sinceStart);
-  context.knownReader = m_freshestReader.Better(m_storeProvenAt, aNow);
+  context.freshestReader =
+    m_freshestReader.ReaderFresherThan(m_storeProvenAt, aNow);
   auto options = fleet::MakeSourceOptions(context, aPlan);
   for (auto& source : options.order) {
     if (source.kind == fleet::SourceKind::Router) {
@@ -220,7 +222,7 @@
     m_storeUpdateSource = std::make_unique<StoreFollower>(
       m_loop,
       m_settings.store,
-      m_dialects.store,
+      m_codecs.store,
       *this,
       m_metrics,
       m_storeEra,
@@ -228,12 +230,12 @@
                                      : kMaxStoreBackoffLastResort);
     return;
   }
-  m_storeUpdateSource = std::make_unique<NewsFollower>(
+  m_storeUpdateSource = std::make_unique<StoreUpdateFollower>(
     m_loop,
     source.address,
     *this,
     [this] {
-      return fleet::NewsAsk{
+      return fleet::StoreUpdateRequest{
         0, 0, m_fleet.ConfigVersion(), m_storeChangeLog.Digest()
       };
     },
@@ -254,7 +256,7 @@
   }
   m_upstreamListChanged = false;
   m_metrics.Count("upstream_list_follows_total");
-  m_fleet.FollowUpstreams(m_loop.Now());
+  m_fleet.UpdateUpstreams(m_loop.Now());
   m_storeChangeLog.SetUpstreams(m_fleet.Upstreams().Entries());
 }
 
@@ -276,10 +278,10 @@
 }
 
 void
-Gateway::OnStoredConfig(const std::string& aBytes)
+Gateway::OnConfigStored(const std::string& aBytes)
 {
   try {
-    auto config = m_dialects.store.DecodeConfig(aBytes);
+    auto config = m_codecs.store.DecodeConfig(aBytes);
     m_storedConfigVersion = config->version;
     if (SetConfig(std::move(config))) {
       m_storeChangeLog.SetConfig(m_fleet.ConfigVersion(), aBytes);
@@ -307,43 +309,43 @@
     .Add("version", version)
     .Add("routes", static_cast<std::uint64_t>(config.routes.size()))
     .Add("keys", static_cast<std::uint64_t>(config.workspaceOfKey.size()))
-    .Add("tokens_per_s", config.tokensPerSecond)
+    .Add("tokens_per_s", config.nominalTokensPerSecond)
     .Info();
   return true;
 }
 
 void
-Gateway::OnListed(const std::vector<fleet::UpstreamEntry>& aEntries)
+Gateway::OnUpstreamsListed(const std::vector<fleet::UpstreamEntry>& aEntries)
 {
   HandleEntryNotices(m_fleet.Upstreams().Replace(aEntries, m_loop.Now()));
 }
 
 void
-Gateway::OnUpstream(const fleet::UpstreamEntry& aEntry)
+Gateway::OnUpstreamChanged(const fleet::UpstreamEntry& aEntry)
 {
   HandleEntryNotices(m_fleet.Upstreams().Put(aEntry));
 }
 
 void
-Gateway::OnRemoved(const std::string& aId)
+Gateway::OnUpstreamRemoved(const std::string& aId)
 {
   HandleEntryNotices(m_fleet.Upstreams().Remove(aId, m_loop.Now()));
 }
 
 void
-Gateway::OnEvacuations(const std::vector<fleet::Evacuation>& aAll)
+Gateway::OnEvacuationsListed(const std::vector<fleet::Evacuation>& aAll)
 {
   HandleZoneNotices(m_fleet.Evacuated().Replace(aAll, m_loop.Now()));
 }
 
 void
-Gateway::OnEvacuated(const fleet::Evacuation& aEvacuation)
+Gateway::OnZoneEvacuated(const fleet::Evacuation& aEvacuation)
 {
   HandleZoneNotices(m_fleet.Evacuated().Put(aEvacuation, m_loop.Now()));
 }
 
 void
-Gateway::OnRestored(const std::string& aZone)
+Gateway::OnZoneRestored(const std::string& aZone)
 {
   m_fleet.Evacuated().Remove(aZone);
 }
@@ -368,7 +370,7 @@
       .Add("revision", notice.evacuation.revision)
       .Add("upstreams",
            static_cast<std::uint64_t>(
-             m_fleet.UpstreamsOfZone(notice.evacuation.zone)))
+             m_fleet.CountUpstreamsInZone(notice.evacuation.zone)))
       .Add("proof_age_ms", proofAge.count())
       .Info();
   }
@@ -393,11 +395,11 @@
     m_metrics.Count("unproven_answers_total");
     return;
   }
-  m_fleet.ConfigFreshness().Proven(aAt);
+  m_fleet.ConfigFreshness().RecordProof(aAt);
   m_storeProvenAt = std::max(m_storeProvenAt, aAt);
   HandleZoneNotices(m_fleet.Evacuated().Proven(aAt));
   if (m_sourceSelector.Current().kind == fleet::SourceKind::Store) {
-    m_freshestReader.Learn(m_settings.peerListen, aAt);
+    m_freshestReader.Update(m_settings.peerListen, aAt);
     m_sourceSelector.Answered(base::Duration{}, m_loop.Now());
   }
 }
--- a/src/gateway/internal/reportcodec.cpp
+++ b/src/gateway/internal/reportcodec.cpp
@@ -110,7 +110,7 @@
 EncodeCrashes(const fleet::PeerReport& aReport)
 {
   std::vector<fb::Crash> crashes;
-  for (const auto& crash : aReport.crashNews.crashes) {
+  for (const auto& crash : aReport.crashUpdates.crashes) {
     const auto request = base::Raw(crash.request);
     crashes.emplace_back(LowHalf(request),
                          HighHalf(request),
@@ -124,7 +124,7 @@
 EncodeClearances(const fleet::PeerReport& aReport)
 {
   std::vector<fb::Clearance> clearances;
-  for (const auto& clearance : aReport.crashNews.clearances) {
+  for (const auto& clearance : aReport.crashUpdates.clearances) {
     const auto request = base::Raw(clearance.request);
     clearances.emplace_back(
       LowHalf(request), HighHalf(request), SaturatedMillis(clearance.age));
@@ -147,17 +147,17 @@
   std::vector<fb::Rate> rates;
   for (const auto& [workspace, rate] : aReport.rates) {
     rates.emplace_back(base::Raw(workspace),
-                       static_cast<float>(rate.asked),
-                       static_cast<float>(rate.begun));
+                       static_cast<float>(rate.demand),
+                       static_cast<float>(rate.admitted));
   }
   std::vector<fb::Calls> calls;
   for (const auto& [service, rate] : aReport.calls) {
     calls.emplace_back(base::Raw(service),
-                       static_cast<float>(rate.asked),
+                       static_cast<float>(rate.demand),
                        static_cast<float>(rate.answered));
   }
   std::vector<fb::Use> uses;
-  for (const auto& use : aReport.uses) {
+  for (const auto& use : aReport.prefixUses) {
     uses.emplace_back(
       LowHalf(use.part), HighHalf(use.part), base::Raw(use.upstream));
   }
@@ -179,14 +179,14 @@
   const auto root =
     fb::CreatePeerReportDirect(builder,
                                aReport.router.c_str(),
-                               aReport.life,
+                               aReport.incarnation,
                                aReport.sequence,
                                ToWireMillis(aReport.sentAt),
                                Raw(aReport.scope),
                                aReport.zone,
                                aReport.group,
-                               aReport.routers,
-                               static_cast<float>(aReport.reading),
+                               aReport.routerCount,
+                               static_cast<float>(aReport.prefillDemand),
                                aReport.configVersion,
                                ToWireMillis(aReport.configAge),
                                aReport.wantsMembers,
@@ -198,7 +198,7 @@
                                PackIp(aReport.reader.ip),
                                aReport.reader.port,
                                SaturatedMillis(aReport.readerAge),
-                               aReport.busy,
+                               aReport.busyRouters,
                                aReport.relayed,
                                SaturatedMillis(aReport.loadAge),
                                &calls,
@@ -228,18 +228,18 @@
   }
   fleet::PeerReport report;
   report.router = wire->router()->str();
-  report.life = wire->life();
+  report.incarnation = wire->life();
   report.sequence = wire->sequence();
   report.sentAt = FromWireMillis(wire->sent_at_ms());
   report.scope = static_cast<fleet::ReportScope>(wire->scope());
   report.zone = wire->zone();
   report.group = wire->group();
-  report.routers = wire->routers();
-  report.reading = CheckedRate(wire->reading());
+  report.routerCount = wire->routers();
+  report.prefillDemand = CheckedRate(wire->reading());
   report.configVersion = wire->config_version();
   report.configAge = FromWireMillis(wire->config_age_ms());
   report.wantsMembers = wire->wants_members();
-  report.busy = wire->busy();
+  report.busyRouters = wire->busy();
   report.relayed = wire->relayed();
   report.loadAge = base::Duration(wire->load_age_ms());
   report.storeEra = wire->store_era();
@@ -269,18 +269,18 @@
         { CheckedRate(aCalls.asked()), CheckedRate(aCalls.answered()) } });
   });
   ForEach(wire->uses(), [&](const fb::Use& aUse) {
-    report.uses.push_back({ Join(aUse.part_low(), aUse.part_high()),
-                            base::UpstreamId(aUse.upstream()) });
+    report.prefixUses.push_back({ Join(aUse.part_low(), aUse.part_high()),
+                                  base::UpstreamId(aUse.upstream()) });
   });
   ForEach(wire->crashes(), [&](const fb::Crash& aCrash) {
-    report.crashNews.crashes.push_back(
+    report.crashUpdates.crashes.push_back(
       { quarantine::RequestFingerprint(
           Join(aCrash.request_low(), aCrash.request_high())),
         base::UpstreamId(aCrash.upstream()),
         base::Duration(aCrash.age_ms()) });
   });
   ForEach(wire->clearances(), [&](const fb::Clearance& aClearance) {
-    report.crashNews.clearances.push_back(
+    report.crashUpdates.clearances.push_back(
       { quarantine::RequestFingerprint(
           Join(aClearance.request_low(), aClearance.request_high())),
         base::Duration(aClearance.age_ms()) });
--- a/src/gateway/internal/storefollower.cpp
+++ b/src/gateway/internal/storefollower.cpp
@@ -37,14 +37,14 @@
 
 StoreFollower::StoreFollower(eventloop::EventLoop& aLoop,
                              const base::Address& aStore,
-                             const IStoreDialect& aDialect,
-                             INewsEvents& aEvents,
+                             const IStoreCodec& aCodec,
+                             IStoreUpdateEvents& aEvents,
                              metrics::Metrics& aMetrics,
                              fleet::StoreEra& aEra,
                              base::Duration aMaxBackoff)
   : m_loop(aLoop)
   , m_address(aStore)
-  , m_dialect(aDialect)
+  , m_codec(aCodec)
   , m_events(aEvents)
   , m_metrics(aMetrics)
   , m_era(aEra)
@@ -89,8 +89,8 @@
   }
   m_metrics.Count("store_calls_total");
   auto request = m_step == Step::List
-                   ? m_dialect.EncodeList(m_listAfterKey)
-                   : m_dialect.EncodeWatch(m_revision, kWatchTimeout);
+                   ? m_codec.EncodeList(m_listAfterKey)
+                   : m_codec.EncodeWatch(m_revision, kWatchTimeout);
   if (!m_connection || !m_connection->IsOpen()) {
     DropConnection();
     m_connection =
@@ -137,13 +137,13 @@
 bool
 StoreFollower::CheckEra()
 {
-  const auto era = m_dialect.DecodeEra(m_headers);
+  const auto era = m_codec.DecodeEra(m_headers);
   if (!era) {
     return true;
   }
   const auto now = m_loop.Now();
   const auto knownEra = m_era.Era();
-  if (!m_era.Seen(*era, now)) {
+  if (!m_era.Observe(*era, now)) {
     throw base::Error(base::ErrorCode::BadValue,
                       "store era " + std::to_string(*era) +
                         " is earlier than the known era " +
@@ -184,7 +184,7 @@
   //! NOTE the store counts as reachable only after its response was decoded.
   const bool watched = m_step == Step::Watch;
   const auto page =
-    watched ? m_dialect.DecodeWatch(m_body) : m_dialect.DecodeList(m_body);
+    watched ? m_codec.DecodeWatch(m_body) : m_codec.DecodeList(m_body);
   HandleStoreReached();
   const bool changed = watched ? HandleWatchPage(page) : HandleListPage(page);
   if (watched && changed) {
@@ -236,10 +236,10 @@
   m_step = Step::Watch;
   m_revision = m_listRevision;
   if (!m_listedConfig.empty()) {
-    m_events.OnStoredConfig(m_listedConfig);
+    m_events.OnConfigStored(m_listedConfig);
   }
-  m_events.OnListed(m_listedUpstreams);
-  m_events.OnEvacuations(m_listedEvacuations);
+  m_events.OnUpstreamsListed(m_listedUpstreams);
+  m_events.OnEvacuationsListed(m_listedEvacuations);
   m_events.OnProven(m_listStartedAt);
   m_listedUpstreams.clear();
   m_listedEvacuations.clear();
@@ -262,16 +262,16 @@
 StoreFollower::HandleItem(const StoreItem& aItem)
 {
   if (const auto* config = std::get_if<StoredConfig>(&aItem)) {
-    m_events.OnStoredConfig(config->bytes);
+    m_events.OnConfigStored(config->bytes);
   } else if (const auto* upstream = std::get_if<StoredUpstream>(&aItem)) {
     LogUnusable(*upstream);
-    m_events.OnUpstream(upstream->entry);
+    m_events.OnUpstreamChanged(upstream->entry);
   } else if (const auto* removed = std::get_if<RemovedUpstream>(&aItem)) {
-    m_events.OnRemoved(removed->id);
+    m_events.OnUpstreamRemoved(removed->id);
   } else if (const auto* evacuated = std::get_if<EvacuatedZone>(&aItem)) {
-    m_events.OnEvacuated(evacuated->evacuation);
+    m_events.OnZoneEvacuated(evacuated->evacuation);
   } else if (const auto* restored = std::get_if<RestoredZone>(&aItem)) {
-    m_events.OnRestored(restored->zone);
+    m_events.OnZoneRestored(restored->zone);
   } else if (const auto* ignored = std::get_if<IgnoredItem>(&aItem)) {
     m_metrics.Count("store_items_ignored_total");
     base::LogLine("store-item-ignored")
--- a/src/gateway/internal/newscodec.cpp
+++ b/src/gateway/internal/storeupdatecodec.cpp
@@ -1,4 +1,4 @@
-#include "gateway/newscodec.h"
+#include "gateway/storeupdatecodec.h"
 
 #include "base/error.h"
 #include "gateway/wiretime.h"
@@ -15,10 +15,10 @@
 using Builder = flatbuffers::FlatBufferBuilder;
 
 flatbuffers::Offset<void>
-EncodeBody(Builder& aBuilder, const fleet::NewsAsk& aRequest)
+EncodeBody(Builder& aBuilder, const fleet::StoreUpdateRequest& aRequest)
 {
   return fb::CreateAsk(aBuilder,
-                       aRequest.life,
+                       aRequest.incarnation,
                        aRequest.sequence,
                        aRequest.configVersion,
                        aRequest.digest)
@@ -26,7 +26,7 @@
 }
 
 flatbuffers::Offset<void>
-EncodeBody(Builder& aBuilder, const fleet::News& aUpdate)
+EncodeBody(Builder& aBuilder, const fleet::StoreUpdate& aUpdate)
 {
   std::vector<flatbuffers::Offset<fb::Upstream>> upstreams;
   for (const auto& entry : aUpdate.upstreams) {
@@ -61,9 +61,9 @@
                                          aUpdate.config.end());
   const auto removed = aBuilder.CreateVectorOfStrings(aUpdate.removed);
   return fb::CreateNews(aBuilder,
-                        aUpdate.life,
+                        aUpdate.incarnation,
                         aUpdate.sequence,
-                        aUpdate.full,
+                        aUpdate.isFullList,
                         ToWireMillis(aUpdate.proofAge),
                         aBuilder.CreateVector(config),
                         aBuilder.CreateVector(upstreams),
@@ -75,10 +75,11 @@
 }
 
 fb::Body
-BodyTypeOf(const NewsMessage& aMessage)
+BodyTypeOf(const StoreUpdateMessage& aMessage)
 {
-  return std::holds_alternative<fleet::NewsAsk>(aMessage) ? fb::Body_Ask
-                                                          : fb::Body_News;
+  return std::holds_alternative<fleet::StoreUpdateRequest>(aMessage)
+           ? fb::Body_Ask
+           : fb::Body_News;
 }
 
 std::string
@@ -105,21 +106,22 @@
   return entry;
 }
 
-fleet::News
+fleet::StoreUpdate
 DecodeUpdate(const fb::News& aWire)
 {
-  fleet::News update;
-  if (aWire.state() > static_cast<std::uint8_t>(fleet::NewsState::Pending)) {
-    throw base::Error(
-      base::ErrorCode::BadFrame,
-      "store update has state " + std::to_string(aWire.state()) +
-        ", expected at most " +
-        std::to_string(static_cast<std::uint8_t>(fleet::NewsState::Pending)));
+  fleet::StoreUpdate update;
+  if (aWire.state() >
+      static_cast<std::uint8_t>(fleet::StoreUpdateState::Pending)) {
+    throw base::Error(base::ErrorCode::BadFrame,
+                      "store update has state " +
+                        std::to_string(aWire.state()) + ", expected at most " +
+                        std::to_string(static_cast<std::uint8_t>(
+                          fleet::StoreUpdateState::Pending)));
   }
-  update.state = static_cast<fleet::NewsState>(aWire.state());
-  update.life = aWire.life();
+  update.state = static_cast<fleet::StoreUpdateState>(aWire.state());
+  update.incarnation = aWire.life();
   update.sequence = aWire.sequence();
-  update.full = aWire.full();
+  update.isFullList = aWire.full();
   update.proofAge = FromWireMillis(aWire.proof_age_ms());
   update.waited = FromWireMillis(aWire.waited_ms());
   if (aWire.config() != nullptr) {
@@ -147,7 +149,7 @@
 }
 
 std::vector<std::uint8_t>
-EncodeNews(const NewsMessage& aMessage)
+EncodeStoreUpdate(const StoreUpdateMessage& aMessage)
 {
   Builder builder;
   const auto body = std::visit(
@@ -158,8 +160,8 @@
   return { data, data + builder.GetSize() };
 }
 
-NewsMessage
-DecodeNews(const std::vector<std::uint8_t>& aBytes)
+StoreUpdateMessage
+DecodeStoreUpdate(const std::vector<std::uint8_t>& aBytes)
 {
   flatbuffers::Verifier verifier(aBytes.data(), aBytes.size());
   if (!fb::VerifyMessageBuffer(verifier)) {
@@ -168,10 +170,10 @@
   }
   const auto* message = fb::GetMessage(aBytes.data());
   if (const auto* request = message->body_as_Ask()) {
-    return fleet::NewsAsk{ request->life(),
-                           request->sequence(),
-                           request->config_version(),
-                           request->digest() };
+    return fleet::StoreUpdateRequest{ request->life(),
+                                      request->sequence(),
+                                      request->config_version(),
+                                      request->digest() };
   }
   if (const auto* update = message->body_as_News()) {
     return DecodeUpdate(*update);
--- a/src/gateway/internal/newsfollower.cpp
+++ b/src/gateway/internal/storeupdatefollower.cpp
@@ -1,9 +1,9 @@
-#include "gateway/newsfollower.h"
+#include "gateway/storeupdatefollower.h"
 
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
-#include "gateway/newscodec.h"
+#include "gateway/storeupdatecodec.h"
 
 namespace hemlockgauge::gateway {
 
@@ -17,12 +17,12 @@
 
 }
 
-NewsFollower::NewsFollower(eventloop::EventLoop& aLoop,
-                           const base::Address& aRouter,
-                           INewsEvents& aEvents,
-                           KnownState aKnownState,
-                           OnAnswer aOnAnswer,
-                           OnPending aOnPending)
+StoreUpdateFollower::StoreUpdateFollower(eventloop::EventLoop& aLoop,
+                                         const base::Address& aRouter,
+                                         IStoreUpdateEvents& aEvents,
+                                         KnownState aKnownState,
+                                         OnAnswer aOnAnswer,
+                                         OnPending aOnPending)
   : m_loop(aLoop)
   , m_router(aRouter)
   , m_events(aEvents)
@@ -32,7 +32,7 @@
 {
 }
 
-NewsFollower::~NewsFollower()
+StoreUpdateFollower::~StoreUpdateFollower()
 {
   if (m_connection) {
     m_connection->Close();
@@ -41,7 +41,7 @@
 }
 
 void
-NewsFollower::Tick(base::TimePoint aNow)
+StoreUpdateFollower::Tick(base::TimePoint aNow)
 {
   if (!m_connection && aNow >= m_nextConnectAt) {
     Connect();
@@ -49,38 +49,38 @@
 }
 
 void
-NewsFollower::Connect()
+StoreUpdateFollower::Connect()
 {
   m_nextConnectAt = m_loop.Now() + kReconnectDelay;
   m_connection = std::make_unique<framing::FrameConnection>(
-    m_loop, m_router, kMaxNewsBytes, *this);
+    m_loop, m_router, kMaxStoreUpdateBytes, *this);
   SendRequest();
 }
 
 void
-NewsFollower::SendRequest()
+StoreUpdateFollower::SendRequest()
 {
   m_requestedAt = m_loop.Now();
   auto request = m_knownState();
-  request.life = m_sourceIncarnation;
+  request.incarnation = m_sourceIncarnation;
   request.sequence = m_sequence;
-  m_connection->Send(EncodeNews(request));
+  m_connection->Send(EncodeStoreUpdate(request));
 }
 
 void
-NewsFollower::OnFrame(framing::FrameConnection&,
-                      const std::vector<std::uint8_t>& aFrame)
+StoreUpdateFollower::OnFrame(framing::FrameConnection&,
+                             const std::vector<std::uint8_t>& aFrame)
 {
-  const auto message = DecodeNews(aFrame);
-  const auto* update = std::get_if<fleet::News>(&message);
+  const auto message = DecodeStoreUpdate(aFrame);
+  const auto* update = std::get_if<fleet::StoreUpdate>(&message);
   if (update == nullptr) {
     throw base::Error(base::ErrorCode::BadFrame,
                       "request from a source router, expected a store update");
   }
-  if (update->state != fleet::NewsState::Proven) {
+  if (update->state != fleet::StoreUpdateState::Proven) {
     m_onPending();
   }
-  if (update->state == fleet::NewsState::Pending) {
+  if (update->state == fleet::StoreUpdateState::Pending) {
     return; // the request is still waiting for its answer
   }
   HandleUpdate(*update);
@@ -88,12 +88,12 @@
 }
 
 void
-NewsFollower::HandleUpdate(const fleet::News& aUpdate)
+StoreUpdateFollower::HandleUpdate(const fleet::StoreUpdate& aUpdate)
 {
-  m_sourceIncarnation = aUpdate.life;
+  m_sourceIncarnation = aUpdate.incarnation;
   m_sequence = aUpdate.sequence;
-  if (aUpdate.state == fleet::NewsState::Unproven) {
-    m_events.OnListed(aUpdate.upstreams);
+  if (aUpdate.state == fleet::StoreUpdateState::Unproven) {
+    m_events.OnUpstreamsListed(aUpdate.upstreams);
     return;
   }
   //! NOTE the response may have been delayed in a buffer, so the confirmation
@@ -102,27 +102,27 @@
   const auto provenAt = m_requestedAt + aUpdate.waited - aUpdate.proofAge;
   m_events.OnStoreReached(provenAt);
   if (!aUpdate.config.empty()) {
-    m_events.OnStoredConfig(aUpdate.config);
+    m_events.OnConfigStored(aUpdate.config);
   }
-  if (aUpdate.full) {
-    m_events.OnListed(aUpdate.upstreams);
+  if (aUpdate.isFullList) {
+    m_events.OnUpstreamsListed(aUpdate.upstreams);
   } else {
     for (const auto& entry : aUpdate.upstreams) {
-      m_events.OnUpstream(entry);
+      m_events.OnUpstreamChanged(entry);
     }
     for (const auto& id : aUpdate.removed) {
-      m_events.OnRemoved(id);
+      m_events.OnUpstreamRemoved(id);
     }
   }
   if (aUpdate.evacuations) {
-    m_events.OnEvacuations(*aUpdate.evacuations);
+    m_events.OnEvacuationsListed(*aUpdate.evacuations);
   }
   m_events.OnProven(provenAt);
   m_onAnswer(aUpdate.proofAge);
 }
 
 void
-NewsFollower::OnLost(framing::FrameConnection&)
+StoreUpdateFollower::OnLost(framing::FrameConnection&)
 {
   m_loop.DeleteLater(std::move(m_connection));
 }
--- a/src/gateway/internal/newsserver.cpp
+++ b/src/gateway/internal/storeupdateserver.cpp
@@ -1,10 +1,10 @@
-#include "gateway/newsserver.h"
+#include "gateway/storeupdateserver.h"
 
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
 #include "fleet/fleetconstants.h"
-#include "gateway/newscodec.h"
+#include "gateway/storeupdatecodec.h"
 #include "metrics/metrics.h"
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 
 }
 
-NewsServer::NewsServer(eventloop::EventLoop& aLoop,
-                       const base::Address& aListen,
-                       const fleet::NewsLog& aLog,
-                       ProofAge aProofAge,
-                       IsReading aIsReading,
-                       metrics::Metrics& aMetrics)
+StoreUpdateServer::StoreUpdateServer(eventloop::EventLoop& aLoop,
+                                     const base::Address& aListen,
+                                     const fleet::StoreChangeLog& aLog,
+                                     ProofAge aProofAge,
+                                     IsReading aIsReading,
+                                     metrics::Metrics& aMetrics)
   : m_loop(aLoop)
   , m_log(aLog)
   , m_proofAge(std::move(aProofAge))
@@ -41,10 +41,10 @@
 {
 }
 
-NewsServer::~NewsServer() = default;
+StoreUpdateServer::~StoreUpdateServer() = default;
 
 void
-NewsServer::Accept(const ACE_SOCK_Stream& aStream)
+StoreUpdateServer::Accept(const ACE_SOCK_Stream& aStream)
 {
   if (m_followers.size() >= kMaxFollowers) {
     ACE_SOCK_Stream refused(aStream);
@@ -52,21 +52,21 @@
     return;
   }
   auto connection = std::make_unique<framing::FrameConnection>(
-    m_loop, aStream, kMaxNewsBytes, *this);
+    m_loop, aStream, kMaxStoreUpdateBytes, *this);
   auto* key = connection.get();
   m_followers[key].connection = std::move(connection);
 }
 
 void
-NewsServer::OnFrame(framing::FrameConnection& aConnection,
-                    const std::vector<std::uint8_t>& aFrame)
+StoreUpdateServer::OnFrame(framing::FrameConnection& aConnection,
+                           const std::vector<std::uint8_t>& aFrame)
 {
   const auto found = m_followers.find(&aConnection);
   if (found == m_followers.end()) {
     return;
   }
-  const auto message = DecodeNews(aFrame);
-  const auto* request = std::get_if<fleet::NewsAsk>(&message);
+  const auto message = DecodeStoreUpdate(aFrame);
+  const auto* request = std::get_if<fleet::StoreUpdateRequest>(&message);
   if (request == nullptr) {
     throw base::Error(base::ErrorCode::BadFrame,
                       "store update from a follower, expected a request");
@@ -83,7 +83,7 @@
 }
 
 bool
-NewsServer::MaySendFullList() const
+StoreUpdateServer::MaySendFullList() const
 {
   const auto receiving =
     std::count_if(m_followers.begin(), m_followers.end(), [](const auto& aOne) {
@@ -97,26 +97,27 @@
 //! Without this, all followers that have no content yet would read the store at
 //! once.
 void
-NewsServer::SendPending(Follower& aFollower, base::TimePoint aNow)
+StoreUpdateServer::SendPending(Follower& aFollower, base::TimePoint aNow)
 {
   const bool isExpected = m_log.IsKnown() || m_isReading();
   const bool waitsForFullList =
-    aFollower.request && m_log.WantsAll(*aFollower.request);
+    aFollower.request && m_log.NeedsFullList(*aFollower.request);
   if (!waitsForFullList || !isExpected ||
       aNow - aFollower.pendingSentAt < kPendingInterval) {
     return;
   }
   aFollower.pendingSentAt = aNow;
-  fleet::News update;
-  update.state = fleet::NewsState::Pending;
-  Send(
-    aFollower, EncodeNews(update), "news_bytes_sent_total{kind=\"pending\"}");
+  fleet::StoreUpdate update;
+  update.state = fleet::StoreUpdateState::Pending;
+  Send(aFollower,
+       EncodeStoreUpdate(update),
+       "news_bytes_sent_total{kind=\"pending\"}");
 }
 
 void
-NewsServer::Send(Follower& aFollower,
-                 const std::vector<std::uint8_t>& aFrame,
-                 const char* aCounter)
+StoreUpdateServer::Send(Follower& aFollower,
+                        const std::vector<std::uint8_t>& aFrame,
+                        const char* aCounter)
 {
   m_metrics.Count(aCounter, aFrame.size());
   aFollower.connection->Send(aFrame);
@@ -125,10 +126,10 @@
 //! Sends the full list, which is encoded once for all followers until the next
 //! change.
 void
-NewsServer::SendFullList(Follower& aFollower)
+StoreUpdateServer::SendFullList(Follower& aFollower)
 {
   if (m_fullListSequence != m_log.Sequence()) {
-    m_fullList = EncodeNews(m_log.All());
+    m_fullList = EncodeStoreUpdate(m_log.FullList());
     m_fullListSequence = m_log.Sequence();
   }
   aFollower.receivesFullList = true;
@@ -137,23 +138,24 @@
 }
 
 bool
-NewsServer::IsDue(const Follower& aFollower, base::TimePoint aNow) const
+StoreUpdateServer::IsDue(const Follower& aFollower, base::TimePoint aNow) const
 {
   if (!aFollower.request || !m_log.IsKnown()) {
     return false;
   }
-  if (m_log.WantsAll(*aFollower.request)) {
+  if (m_log.NeedsFullList(*aFollower.request)) {
     return MaySendFullList();
   }
-  return m_log.HasNews(*aFollower.request) ||
-         aNow - m_proofAge() >= aFollower.sentProvenAt + fleet::kProofStep ||
-         aNow - aFollower.requestedAt >= fleet::kNewsWait;
+  return m_log.HasUpdateFor(*aFollower.request) ||
+         aNow - m_proofAge() >=
+           aFollower.sentProvenAt + fleet::kProofPushInterval ||
+         aNow - aFollower.requestedAt >= fleet::kNewsPollTimeout;
 }
 
 void
-NewsServer::SendUpdate(Follower& aFollower)
+StoreUpdateServer::SendUpdate(Follower& aFollower)
 {
-  if (m_log.WantsAll(*aFollower.request)) {
+  if (m_log.NeedsFullList(*aFollower.request)) {
     SendFullList(aFollower);
     return;
   }
@@ -161,12 +163,13 @@
   update.waited = m_loop.Now() - aFollower.requestedAt;
   aFollower.request.reset();
   aFollower.sentProvenAt = m_loop.Now() - update.proofAge;
-  Send(
-    aFollower, EncodeNews(update), "news_bytes_sent_total{kind=\"changes\"}");
+  Send(aFollower,
+       EncodeStoreUpdate(update),
+       "news_bytes_sent_total{kind=\"changes\"}");
 }
 
 void
-NewsServer::Tick(base::TimePoint aNow)
+StoreUpdateServer::Tick(base::TimePoint aNow)
 {
   std::vector<framing::FrameConnection*> waiting;
   for (const auto& [key, follower] : m_followers) {
@@ -188,7 +191,7 @@
 }
 
 void
-NewsServer::OnLost(framing::FrameConnection& aConnection)
+StoreUpdateServer::OnLost(framing::FrameConnection& aConnection)
 {
   const auto found = m_followers.find(&aConnection);
   if (found == m_followers.end()) {
--- a/src/gateway/internal/upstreamchecks.cpp
+++ b/src/gateway/internal/upstreamchecks.cpp
@@ -40,13 +40,13 @@
   std::vector<std::pair<http::ClientConnection*, CheckResult>> finished;
   for (const auto& [connection, check] : m_checks) {
     if (!connection->IsConnecting()) {
-      finished.emplace_back(connection, CheckResult::Lives);
+      finished.emplace_back(connection, CheckResult::Alive);
     } else if (aNow - check.startedAt > kCheckTimeout) {
       finished.emplace_back(connection, CheckResult::Unknown);
     }
   }
   for (const auto& [connection, result] : finished) {
-    if (result == CheckResult::Lives) {
+    if (result == CheckResult::Alive) {
       m_pool.Release(*connection);
     } else {
       m_pool.Discard(*connection);
@@ -86,7 +86,7 @@
   }
   const bool hasOpenConnections = m_pool.HasEstablished(found->second.upstream);
   Finish(aConnection,
-         hasOpenConnections ? CheckResult::Lives : CheckResult::Crashed);
+         hasOpenConnections ? CheckResult::Alive : CheckResult::Crashed);
 }
 
 void
--- a/src/gateway/istoredialect.h
+++ b/src/gateway/istorecodec.h
@@ -69,10 +69,10 @@
 
 //! Encodes requests to the platform's store and decodes its responses. The
 //! decoding functions throw Error(BadSyntax) if a response can't be parsed.
-class IStoreDialect
+class IStoreCodec
 {
 public:
-  virtual ~IStoreDialect() = default;
+  virtual ~IStoreCodec() = default;
 
   //! Request for the page of the listing that follows aAfterKey.
   virtual std::string EncodeList(const std::string& aAfterKey) const = 0;
--- a/src/gateway/inewssource.h
+++ b/src/gateway/istoreupdatesource.h
@@ -11,23 +11,25 @@
 
 //! Receives the content of the platform's store in order, whether it was read
 //! from the store itself or from another router.
-class INewsEvents
+class IStoreUpdateEvents
 {
 public:
-  virtual ~INewsEvents() = default;
+  virtual ~IStoreUpdateEvents() = default;
 
   //! The store was reachable at aAt. Called before the content as of aAt.
   virtual void OnStoreReached(base::TimePoint aAt) = 0;
-  virtual void OnStoredConfig(const std::string& aBytes) = 0;
+  virtual void OnConfigStored(const std::string& aBytes) = 0;
   //! All upstreams that are listed now; replaces earlier ones.
-  virtual void OnListed(const std::vector<fleet::UpstreamEntry>& aEntries) = 0;
+  virtual void OnUpstreamsListed(
+    const std::vector<fleet::UpstreamEntry>& aEntries) = 0;
   //! An upstream's entry is new or has changed.
-  virtual void OnUpstream(const fleet::UpstreamEntry& aEntry) = 0;
-  virtual void OnRemoved(const std::string& aId) = 0;
+  virtual void OnUpstreamChanged(const fleet::UpstreamEntry& aEntry) = 0;
+  virtual void OnUpstreamRemoved(const std::string& aId) = 0;
   //! All evacuations that are in force now; replaces earlier ones.
-  virtual void OnEvacuations(const std::vector<fleet::Evacuation>& aAll) = 0;
-  virtual void OnEvacuated(const fleet::Evacuation& aEvacuation) = 0;
-  virtual void OnRestored(const std::string& aZone) = 0;
+  virtual void OnEvacuationsListed(
+    const std::vector<fleet::Evacuation>& aAll) = 0;
+  virtual void OnZoneEvacuated(const fleet::Evacuation& aEvacuation) = 0;
+  virtual void OnZoneRestored(const std::string& aZone) = 0;
   //! The store's whole content as of aAt has been delivered. Called at the end
   //! of each response.
   virtual void OnProven(base::TimePoint aAt) = 0;
@@ -35,10 +37,10 @@
 };
 
 //! A source that delivers the content of the platform's store and its changes.
-class INewsSource
+class IStoreUpdateSource
 {
 public:
-  virtual ~INewsSource() = default;
+  virtual ~IStoreUpdateSource() = default;
 
   //! To be called many times per second.
   virtual void Tick(base::TimePoint aNow) = 0;
--- a/src/gateway/iupstreamdialect.h
+++ b/src/gateway/iupstreamcodec.h
@@ -7,15 +7,15 @@
 namespace hemlockgauge::gateway {
 
 //! Encodes requests to upstreams and decodes their responses.
-class IUpstreamDialect
+class IUpstreamCodec
 {
 public:
-  virtual ~IUpstreamDialect() = default;
+  virtual ~IUpstreamCodec() = default;
 
   //! Returns the complete HTTP request with its body.
   virtual std::string Encode(const CallerRequest& aRequest,
                              const SendContext& aContext) const = 0;
-  virtual UpstreamAnswer Decode(http::ResponseHead&& aHead) const = 0;
+  virtual UpstreamResponse Decode(http::ResponseHead&& aHead) const = 0;
 };
 
 }
--- a/src/gateway/storefollower.h
+++ b/src/gateway/storefollower.h
@@ -3,8 +3,8 @@
 #include "base/address.h"
 #include "base/basetypes.h"
 #include "fleet/storeera.h"
-#include "gateway/inewssource.h"
-#include "gateway/istoredialect.h"
+#include "gateway/istorecodec.h"
+#include "gateway/istoreupdatesource.h"
 #include "http/clientconnection.h"
 
 #include <cstdint>
@@ -28,14 +28,14 @@
 //! Backs off after a failure by at most aMaxBackoff, because the store counts
 //! refused calls too.
 class StoreFollower
-  : public INewsSource
+  : public IStoreUpdateSource
   , public http::IClientEvents
 {
 public:
   StoreFollower(eventloop::EventLoop& aLoop,
                 const base::Address& aStore,
-                const IStoreDialect& aDialect,
-                INewsEvents& aEvents,
+                const IStoreCodec& aCodec,
+                IStoreUpdateEvents& aEvents,
                 metrics::Metrics& aMetrics,
                 fleet::StoreEra& aEra,
                 base::Duration aMaxBackoff);
@@ -81,8 +81,8 @@
 
   eventloop::EventLoop& m_loop;
   base::Address m_address;
-  const IStoreDialect& m_dialect;
-  INewsEvents& m_events;
+  const IStoreCodec& m_codec;
+  IStoreUpdateEvents& m_events;
   metrics::Metrics& m_metrics;
   fleet::StoreEra& m_era;
   std::optional<std::uint64_t>
--- a/src/gateway/newsfollower.h
+++ b/src/gateway/storeupdatefollower.h
@@ -2,9 +2,9 @@
 
 #include "base/address.h"
 #include "base/basetypes.h"
-#include "fleet/news.h"
+#include "fleet/storeupdate.h"
 #include "framing/frameconnection.h"
-#include "gateway/inewssource.h"
+#include "gateway/istoreupdatesource.h"
 
 #include <functional>
 #include <memory>
@@ -16,8 +16,8 @@
 namespace hemlockgauge::gateway {
 
 //! Follows the store's content as another router serves it.
-class NewsFollower
-  : public INewsSource
+class StoreUpdateFollower
+  : public IStoreUpdateSource
   , public framing::IFrameEvents
 {
 public:
@@ -25,17 +25,17 @@
   //! confirmed the content.
   using OnAnswer = std::function<void(base::Duration aProofAge)>;
   //! Returns the state that this router already has, for the next request.
-  using KnownState = std::function<fleet::NewsAsk()>;
+  using KnownState = std::function<fleet::StoreUpdateRequest()>;
   //! Called when the router is reachable but has no confirmed content yet.
   using OnPending = std::function<void()>;
 
-  NewsFollower(eventloop::EventLoop& aLoop,
-               const base::Address& aRouter,
-               INewsEvents& aEvents,
-               KnownState aKnownState,
-               OnAnswer aOnAnswer,
-               OnPending aOnPending);
-  ~NewsFollower() override;
+  StoreUpdateFollower(eventloop::EventLoop& aLoop,
+                      const base::Address& aRouter,
+                      IStoreUpdateEvents& aEvents,
+                      KnownState aKnownState,
+                      OnAnswer aOnAnswer,
+                      OnPending aOnPending);
+  ~StoreUpdateFollower() override;
 
   void Tick(base::TimePoint aNow) override;
 
@@ -46,11 +46,11 @@
 private:
   void Connect();
   void SendRequest();
-  void HandleUpdate(const fleet::News& aUpdate);
+  void HandleUpdate(const fleet::StoreUpdate& aUpdate);
 
   eventloop::EventLoop& m_loop;
   base::Address m_router;
-  INewsEvents& m_events;
+  IStoreUpdateEvents& m_events;
   KnownState m_knownState;
   OnAnswer m_onAnswer;
   OnPending m_onPending;
--- a/src/gateway/newsserver.h
+++ b/src/gateway/storeupdateserver.h
@@ -2,7 +2,7 @@
 
 #include "base/address.h"
 #include "base/basetypes.h"
-#include "fleet/newslog.h"
+#include "fleet/storechangelog.h"
 #include "framing/frameconnection.h"
 #include "http/listener.h"
 
@@ -23,8 +23,9 @@
 
 //! Serves the store's content that this router knows to other routers, the
 //! followers. A follower's request is answered as soon as there is a change or
-//! a confirmation by the store that is newer by kProofStep, or after kNewsWait.
-class NewsServer : public framing::IFrameEvents
+//! a confirmation by the store that is newer by kProofPushInterval, or after
+//! kNewsPollTimeout.
+class StoreUpdateServer : public framing::IFrameEvents
 {
 public:
   //! Time since the store was last known to hold the content of the log.
@@ -34,13 +35,13 @@
   using IsReading = std::function<bool()>;
 
   //! Throws Error(Unreachable) if it can't listen on the address.
-  NewsServer(eventloop::EventLoop& aLoop,
-             const base::Address& aListen,
-             const fleet::NewsLog& aLog,
-             ProofAge aProofAge,
-             IsReading aIsReading,
-             metrics::Metrics& aMetrics);
-  ~NewsServer() override;
+  StoreUpdateServer(eventloop::EventLoop& aLoop,
+                    const base::Address& aListen,
+                    const fleet::StoreChangeLog& aLog,
+                    ProofAge aProofAge,
+                    IsReading aIsReading,
+                    metrics::Metrics& aMetrics);
+  ~StoreUpdateServer() override;
 
   //! Answers the waiting requests that have become due.
   void Tick(base::TimePoint aNow);
@@ -53,7 +54,8 @@
   struct Follower
   {
     std::unique_ptr<framing::FrameConnection> connection;
-    std::optional<fleet::NewsAsk> request; //!< unanswered request, if any
+    std::optional<fleet::StoreUpdateRequest>
+      request; //!< unanswered request, if any
     base::TimePoint requestedAt{};
     base::TimePoint sentProvenAt{}; //!< confirmation time that was sent last
     base::TimePoint pendingSentAt{ base::TimePoint::min() / 2 }; //!< last sent
@@ -72,7 +74,7 @@
   bool MaySendFullList() const;
 
   eventloop::EventLoop& m_loop;
-  const fleet::NewsLog& m_log;
+  const fleet::StoreChangeLog& m_log;
   ProofAge m_proofAge;
   IsReading m_isReading;
   metrics::Metrics& m_metrics;
--- a/src/gateway/tests/gatewaytests.cpp
+++ b/src/gateway/tests/gatewaytests.cpp
@@ -1,8 +1,8 @@
 #include "base/error.h"
 #include "gateway/eventstreamfilter.h"
 #include "gateway/gatewaysettings.h"
-#include "gateway/newscodec.h"
 #include "gateway/reportcodec.h"
+#include "gateway/storeupdatecodec.h"
 
 #include <criterion/criterion.h>
 
@@ -117,14 +117,14 @@
 {
   fleet::PeerReport report;
   report.router = "r1";
-  report.life = 1ULL << 40;
+  report.incarnation = 1ULL << 40;
   report.sequence = 9;
   report.sentAt = base::TimePoint(123456789);
   report.scope = fleet::ReportScope::Group;
   report.zone = 77;
   report.group = 1ULL << 50;
-  report.routers = 3;
-  report.reading = 2000.0;
+  report.routerCount = 3;
+  report.prefillDemand = 2000.0;
   report.configVersion = 12;
   report.configAge = base::Duration(34);
   report.wantsMembers = true;
@@ -132,14 +132,14 @@
   report.storeEraAge = base::Duration(2345);
   report.loads = { { base::UpstreamId(1), 2, 3 } };
   report.rates = { { base::WorkspaceId(4), { 5.0, 6.0 } } };
-  report.uses = { { 0xffffffffffffULL, base::UpstreamId(7) } };
-  report.crashNews.crashes = { { quarantine::RequestFingerprint(
-                                   0xfedcba9876543210ULL),
-                                 base::UpstreamId(11),
-                                 base::Duration(1234) } };
-  report.crashNews.clearances = { { quarantine::RequestFingerprint(
-                                      0x123456789abcdef0ULL),
-                                    base::Duration(56) } };
+  report.prefixUses = { { 0xffffffffffffULL, base::UpstreamId(7) } };
+  report.crashUpdates.crashes = { { quarantine::RequestFingerprint(
+                                      0xfedcba9876543210ULL),
+                                    base::UpstreamId(11),
+                                    base::Duration(1234) } };
+  report.crashUpdates.clearances = { { quarantine::RequestFingerprint(
+                                         0x123456789abcdef0ULL),
+                                       base::Duration(56) } };
   report.heard = { { base::RouterId(8), 5, base::TimePoint(9) } };
   report.members = { { { "10.1.0.33", 7400 }, 6, base::Duration(250) } };
   return report;
@@ -153,27 +153,27 @@
   const auto bytes = EncodeReport(report);
   const auto read = DecodeReport(bytes.data(), bytes.size());
   cr_assert(read.router == "r1");
-  cr_assert(read.life == report.life);
+  cr_assert(read.incarnation == report.incarnation);
   cr_assert(read.sequence == 9);
   cr_assert(read.sentAt == report.sentAt);
   cr_assert(read.scope == fleet::ReportScope::Group);
   cr_assert(read.zone == 77 && read.group == report.group);
-  cr_assert(read.routers == 3 && read.wantsMembers);
-  cr_assert(read.reading == 2000.0);
+  cr_assert(read.routerCount == 3 && read.wantsMembers);
+  cr_assert(read.prefillDemand == 2000.0);
   cr_assert(read.configVersion == 12);
   cr_assert(read.configAge == report.configAge);
   cr_assert(read.storeEra == report.storeEra);
   cr_assert(read.storeEraAge == report.storeEraAge);
   cr_assert(read.loads.at(0).running == 3);
-  cr_assert(read.rates.at(0).rate.begun == 6.0);
-  cr_assert(read.uses.at(0).part == 0xffffffffffffULL);
-  cr_assert(read.crashNews.crashes.at(0).request ==
-            report.crashNews.crashes[0].request);
-  cr_assert(read.crashNews.crashes.at(0).upstream == base::UpstreamId(11));
-  cr_assert(read.crashNews.crashes.at(0).age == base::Duration(1234));
-  cr_assert(read.crashNews.clearances.at(0).request ==
-            report.crashNews.clearances[0].request);
-  cr_assert(read.crashNews.clearances.at(0).age == base::Duration(56));
+  cr_assert(read.rates.at(0).rate.admitted == 6.0);
+  cr_assert(read.prefixUses.at(0).part == 0xffffffffffffULL);
+  cr_assert(read.crashUpdates.crashes.at(0).request ==
+            report.crashUpdates.crashes[0].request);
+  cr_assert(read.crashUpdates.crashes.at(0).upstream == base::UpstreamId(11));
+  cr_assert(read.crashUpdates.crashes.at(0).age == base::Duration(1234));
+  cr_assert(read.crashUpdates.clearances.at(0).request ==
+            report.crashUpdates.clearances[0].request);
+  cr_assert(read.crashUpdates.clearances.at(0).age == base::Duration(56));
   cr_assert(read.heard.at(0).sequence == 5);
   cr_assert(read.heard.at(0).sentAt == base::TimePoint(9));
   cr_assert(read.members.at(0).address == report.members[0].address);
@@ -184,11 +184,11 @@
 {
   for (const double rate : { std::nan(""), -1.0, HUGE_VAL }) {
     auto report = FullReport();
-    report.reading = rate;
+    report.prefillDemand = rate;
     auto bytes = EncodeReport(report);
     cr_assert_throw(DecodeReport(bytes.data(), bytes.size()), base::Error);
     report = FullReport();
-    report.rates[0].rate.asked = rate;
+    report.rates[0].rate.demand = rate;
     bytes = EncodeReport(report);
     cr_assert_throw(DecodeReport(bytes.data(), bytes.size()), base::Error);
   }
@@ -222,10 +222,10 @@
 
 Test(news, NewsRoundTrip)
 {
-  fleet::News news;
-  news.life = 1ULL << 40;
+  fleet::StoreUpdate news;
+  news.incarnation = 1ULL << 40;
   news.sequence = 9;
-  news.full = true;
+  news.isFullList = true;
   news.proofAge = base::Duration(34);
   news.waited = base::Duration(700);
   news.config = std::string("{\0}", 3);
@@ -245,8 +245,10 @@
   news.upstreams = { entry, unusable };
   news.removed = { "i-2" };
   news.evacuations = { { "z", 1ULL << 33 }, { "y", 0 } };
-  const auto read = std::get<fleet::News>(DecodeNews(EncodeNews(news)));
-  cr_assert(read.life == news.life && read.sequence == 9 && read.full);
+  const auto read =
+    std::get<fleet::StoreUpdate>(DecodeStoreUpdate(EncodeStoreUpdate(news)));
+  cr_assert(read.incarnation == news.incarnation && read.sequence == 9 &&
+            read.isFullList);
   cr_assert(read.proofAge == news.proofAge);
   cr_assert(read.waited == news.waited);
   cr_assert(read.config == news.config);
@@ -255,30 +257,34 @@
   cr_assert(read.removed == news.removed);
   cr_assert(read.evacuations == news.evacuations);
   news.evacuations.emplace();
-  cr_assert(std::get<fleet::News>(DecodeNews(EncodeNews(news)))
-              .evacuations.value()
-              .empty());
+  cr_assert(
+    std::get<fleet::StoreUpdate>(DecodeStoreUpdate(EncodeStoreUpdate(news)))
+      .evacuations.value()
+      .empty());
   news.evacuations.reset();
-  cr_assert(!std::get<fleet::News>(DecodeNews(EncodeNews(news))).evacuations);
-  const auto ask =
-    std::get<fleet::NewsAsk>(DecodeNews(EncodeNews(fleet::NewsAsk{ 1, 2, 3 })));
-  cr_assert(ask.life == 1 && ask.sequence == 2 && ask.configVersion == 3);
+  cr_assert(
+    !std::get<fleet::StoreUpdate>(DecodeStoreUpdate(EncodeStoreUpdate(news)))
+       .evacuations);
+  const auto ask = std::get<fleet::StoreUpdateRequest>(
+    DecodeStoreUpdate(EncodeStoreUpdate(fleet::StoreUpdateRequest{ 1, 2, 3 })));
+  cr_assert(ask.incarnation == 1 && ask.sequence == 2 &&
+            ask.configVersion == 3);
 }
 
 Test(news, RandomAndDamagedBytesAreDecodedOrRejected)
 {
   rc::check([](const std::vector<std::uint8_t>& aBytes) {
-    RC_ASSERT_THROWS_AS(DecodeNews(aBytes), base::Error);
+    RC_ASSERT_THROWS_AS(DecodeStoreUpdate(aBytes), base::Error);
   });
-  fleet::News news;
+  fleet::StoreUpdate news;
   news.removed = { "i-2" };
-  const auto bytes = EncodeNews(news);
+  const auto bytes = EncodeStoreUpdate(news);
   rc::check([&] {
     auto damaged = bytes;
     const auto at = *rc::gen::inRange<std::size_t>(0, damaged.size());
     damaged[at] = *rc::gen::arbitrary<std::uint8_t>();
     try {
-      DecodeNews(damaged);
+      DecodeStoreUpdate(damaged);
     } catch (const base::Error&) {
       // a rejected message is a valid outcome
     }
--- a/src/platform/internal/platformclient.cpp
+++ b/src/platform/internal/platformclient.cpp
@@ -219,7 +219,7 @@
       check = m_checks.front();
       m_checks.pop_front();
     }
-    auto result = CheckResult::Lives;
+    auto result = CheckResult::Alive;
     try {
       HttpGet(check.address, "/v1/load", kLoadLimit, m_stop);
     } catch (const base::Error& error) {
--- a/src/quarantine/crashchecks.h
+++ b/src/quarantine/crashchecks.h
@@ -15,15 +15,17 @@
 {
 public:
   //! Records that the connection of aRequest to aUpstream broke.
-  void Broke(UpstreamId aUpstream, RequestFingerprint aRequest, TimePoint aNow);
+  void RecordBrokenConnection(UpstreamId aUpstream,
+                              RequestFingerprint aRequest,
+                              TimePoint aNow);
   //! Returns the upstreams to check now: those whose first connection broke
   //! kCrashCheckDelay ago. Each is returned once until Take() ends its check.
-  std::vector<UpstreamId> TakeDue(TimePoint aNow);
+  std::vector<UpstreamId> StartDueChecks(TimePoint aNow);
   //! Ends the check of an upstream. Returns the requests that waited for its
   //! result.
-  std::vector<RequestFingerprint> Take(UpstreamId aUpstream);
+  std::vector<RequestFingerprint> EndCheck(UpstreamId aUpstream);
   //! Number of upstreams with an unfinished check that aRequest waits for.
-  std::size_t Waiting(RequestFingerprint aRequest) const;
+  std::size_t PendingChecks(RequestFingerprint aRequest) const;
 
 private:
   struct Check
--- a/src/quarantine/internal/crashchecks.cpp
+++ b/src/quarantine/internal/crashchecks.cpp
@@ -7,9 +7,9 @@
 namespace hemlockgauge::quarantine {
 
 void
-CrashChecks::Broke(UpstreamId aUpstream,
-                   RequestFingerprint aRequest,
-                   TimePoint aNow)
+CrashChecks::RecordBrokenConnection(UpstreamId aUpstream,
+                                    RequestFingerprint aRequest,
+                                    TimePoint aNow)
 {
   const auto [entry, isNew] = m_checks.try_emplace(aUpstream);
   auto& check = entry->second;
@@ -20,7 +20,7 @@
 }
 
 std::vector<UpstreamId>
-CrashChecks::TakeDue(TimePoint aNow)
+CrashChecks::StartDueChecks(TimePoint aNow)
 {
   std::vector<UpstreamId> due;
   for (auto& [upstream, check] : m_checks) {
@@ -33,7 +33,7 @@
 }
 
 std::vector<RequestFingerprint>
-CrashChecks::Take(UpstreamId aUpstream)
+CrashChecks::EndCheck(UpstreamId aUpstream)
 {
   const auto found = m_checks.find(aUpstream);
   if (found == m_checks.end()) {
@@ -45,7 +45,7 @@
 }
 
 std::size_t
-CrashChecks::Waiting(RequestFingerprint aRequest) const
+CrashChecks::PendingChecks(RequestFingerprint aRequest) const
 {
   return static_cast<std::size_t>(
     std::count_if(m_checks.begin(), m_checks.end(), [&](const auto& aEntry) {
--- a/src/quarantine/internal/quarantine.cpp
+++ b/src/quarantine/internal/quarantine.cpp
@@ -25,9 +25,9 @@
 }
 
 void
-Quarantine::Crashed(RequestFingerprint aRequest,
-                    UpstreamId aUpstream,
-                    TimePoint aNow)
+Quarantine::RecordCrash(RequestFingerprint aRequest,
+                        UpstreamId aUpstream,
+                        TimePoint aNow)
 {
   Add(aRequest, { aUpstream, aNow }, aNow);
 }
@@ -40,14 +40,14 @@
                 TimePoint aNow)
 {
   if (const auto success = m_successes.Last(aRequest)) {
-    if (aCrash.at <= *success + kSoundFor) {
+    if (aCrash.at <= *success + kSuccessValidity) {
       Clear(aRequest, *success);
     }
   }
   auto& record = m_records[aRequest];
-  if (record.clearedAt && aCrash.at <= *record.clearedAt + kSoundFor) {
+  if (record.clearedAt && aCrash.at <= *record.clearedAt + kSuccessValidity) {
     // The router that reported the crash may not know that it is cleared.
-    record.pendingReports = kTimesTold;
+    record.pendingReports = kReportsPerItem;
     return;
   }
   auto& crashes = record.crashes;
@@ -64,10 +64,10 @@
       return aKnown.at > aCrash.at;
     });
   crashes.insert(firstLater, aCrash);
-  if (crashes.size() > kMostCrashesKept) {
+  if (crashes.size() > kMaxCrashesPerSuspect) {
     crashes.erase(crashes.begin());
   }
-  record.pendingReports = kTimesTold;
+  record.pendingReports = kReportsPerItem;
   QuarantineIfNeeded(aRequest, record, aNow);
   if (record.isQuarantined) {
     ReleaseExplained();
@@ -80,7 +80,7 @@
                                Record& aRecord,
                                TimePoint aNow)
 {
-  const bool isNeeded = aNow - aRecord.LastEventAt() < kQuarantineTime &&
+  const bool isNeeded = aNow - aRecord.LastEventAt() < kQuarantineDuration &&
                         CountUnexplained(aRecord) >= kCrashesToQuarantine;
   if (isNeeded && !aRecord.isQuarantined) {
     aRecord.isQuarantined = true;
@@ -89,7 +89,7 @@
 }
 
 void
-Quarantine::EndedWell(RequestFingerprint aRequest, TimePoint aNow)
+Quarantine::RecordSuccess(RequestFingerprint aRequest, TimePoint aNow)
 {
   m_successes.Add(aRequest, aNow);
   if (m_records.contains(aRequest)) {
@@ -106,11 +106,11 @@
   }
   const auto removedCrashes =
     std::erase_if(record.crashes, [&](const Crash& aCrash) {
-      return aCrash.at <= aAt + kSoundFor;
+      return aCrash.at <= aAt + kSuccessValidity;
     });
   const bool hasChanged = !record.clearedAt || removedCrashes > 0;
   record.clearedAt = aAt;
-  record.pendingReports = hasChanged ? kTimesTold : record.pendingReports;
+  record.pendingReports = hasChanged ? kReportsPerItem : record.pendingReports;
   if (record.isQuarantined && CountUnexplained(record) < kCrashesToQuarantine) {
     record.isQuarantined = false;
     AddNotice(aRequest, QuarantineChange::Cleared, record);
@@ -162,59 +162,61 @@
 }
 
 std::size_t
-Quarantine::Crashes(RequestFingerprint aRequest) const
+Quarantine::CrashCount(RequestFingerprint aRequest) const
 {
   const auto found = m_records.find(aRequest);
   return found == m_records.end() ? 0 : CountUnexplained(found->second);
 }
 
 std::optional<Duration>
-Quarantine::HeldFor(RequestFingerprint aRequest,
-                    std::size_t aUnsure,
-                    TimePoint aNow) const
+Quarantine::RefusedFor(RequestFingerprint aRequest,
+                       std::size_t aUnsure,
+                       TimePoint aNow) const
 {
   const auto found = m_records.find(aRequest);
   if (found != m_records.end() && found->second.isQuarantined) {
-    const auto timeLeft = found->second.LastEventAt() + kQuarantineTime - aNow;
+    const auto timeLeft =
+      found->second.LastEventAt() + kQuarantineDuration - aNow;
     if (timeLeft > Duration{}) {
       return timeLeft;
     }
   }
   const auto success = m_successes.Last(aRequest);
-  if (success && aNow <= *success + kSoundFor) {
+  if (success && aNow <= *success + kSuccessValidity) {
     return std::nullopt;
   }
-  if (aUnsure > 0 && Crashes(aRequest) + aUnsure >= kCrashesToQuarantine) {
-    return kUnsureFor;
+  if (aUnsure > 0 && CrashCount(aRequest) + aUnsure >= kCrashesToQuarantine) {
+    return kPendingCheckRefusal;
   }
   return std::nullopt;
 }
 
 void
-Quarantine::Take(const CrashNews& aNews, TimePoint aNow)
+Quarantine::Take(const CrashUpdates& aNews, TimePoint aNow)
 {
   for (const auto& clearance : aNews.clearances) {
     Clear(clearance.request, aNow - clearance.age);
   }
   for (const auto& crash : aNews.crashes) {
-    if (crash.age < kCrashKept) {
+    if (crash.age < kCrashTtl) {
       Add(crash.request, { crash.upstream, aNow - crash.age }, aNow);
     }
   }
 }
 
 //! Appends the crashes and the clearance of one record to aNews. Leaves out
-//! what is older than kCrashTold and expires soon, since two routers would
-//! otherwise restore it for each other forever.
+//! what is older than kMaxReportedCrashAge and expires soon, since two routers
+//! would otherwise restore it for each other forever.
 void
-Quarantine::AppendRecord(CrashNews& aNews,
+Quarantine::AppendRecord(CrashUpdates& aNews,
                          RequestFingerprint aRequest,
                          const Record& aRecord,
                          TimePoint aNow)
 {
   for (const auto& crash : aRecord.crashes) {
     const auto age = aNow - crash.at;
-    if (age < kCrashTold && aNews.crashes.size() < kMostCrashesTold) {
+    if (age < kMaxReportedCrashAge &&
+        aNews.crashes.size() < kMaxCrashesPerReport) {
       aNews.crashes.push_back({ aRequest, crash.upstream, age });
     }
   }
@@ -222,14 +224,15 @@
     return;
   }
   const auto age = aNow - *aRecord.clearedAt;
-  if (age < kCrashTold && aNews.clearances.size() < kMostCrashesTold) {
+  if (age < kMaxReportedCrashAge &&
+      aNews.clearances.size() < kMaxCrashesPerReport) {
     aNews.clearances.push_back({ aRequest, age });
   }
 }
 
 //! If not everything fits, records of high priority are reported first.
-CrashNews
-Quarantine::TellNews(TimePoint aNow)
+CrashUpdates
+Quarantine::TakeUnreportedCrashes(TimePoint aNow)
 {
   std::vector<Records::iterator> unreported;
   for (auto it = m_records.begin(); it != m_records.end(); ++it) {
@@ -242,10 +245,10 @@
             [](const auto& aLeft, const auto& aRight) {
               return aLeft->second.Priority() > aRight->second.Priority();
             });
-  CrashNews news;
+  CrashUpdates news;
   for (const auto& entry : unreported) {
-    const bool full = news.crashes.size() >= kMostCrashesTold ||
-                      news.clearances.size() >= kMostCrashesTold;
+    const bool full = news.crashes.size() >= kMaxCrashesPerReport ||
+                      news.clearances.size() >= kMaxCrashesPerReport;
     if (full) {
       break;
     }
@@ -255,16 +258,16 @@
   return news;
 }
 
-CrashNews
-Quarantine::TellInTurn(TimePoint aNow)
+CrashUpdates
+Quarantine::NextCrashRefresh(TimePoint aNow)
 {
-  CrashNews news;
+  CrashUpdates news;
   for (const auto& [request, record] : m_records) {
     if (record.isQuarantined) {
       AppendRecord(news, request, record, aNow);
     }
   }
-  const auto count = std::min(kSuspectsInTurn, m_records.size());
+  const auto count = std::min(kSuspectsPerRefresh, m_records.size());
   auto next = m_records.lower_bound(m_nextInTurn);
   for (std::size_t i = 0; i < count; ++i) {
     next = next == m_records.end() ? m_records.begin() : next;
@@ -279,8 +282,8 @@
 Quarantine::Tick(TimePoint aNow)
 {
   for (auto& [request, record] : m_records) {
-    const bool hasEnded =
-      record.isQuarantined && aNow - record.LastEventAt() >= kQuarantineTime;
+    const bool hasEnded = record.isQuarantined &&
+                          aNow - record.LastEventAt() >= kQuarantineDuration;
     if (hasEnded) {
       // The crashes are kept, so that one more crash is enough to quarantine
       // the request again.
@@ -288,13 +291,13 @@
       AddNotice(request, QuarantineChange::Expired, record);
     }
     std::erase_if(record.crashes, [&](const Crash& aCrash) {
-      return aNow - aCrash.at >= kCrashKept;
+      return aNow - aCrash.at >= kCrashTtl;
     });
   }
   std::erase_if(m_records, [&](const auto& aEntry) {
     const auto& record = aEntry.second;
     return record.crashes.empty() &&
-           (!record.clearedAt || aNow - *record.clearedAt >= kCrashKept);
+           (!record.clearedAt || aNow - *record.clearedAt >= kCrashTtl);
   });
 }
 
@@ -302,7 +305,7 @@
 void
 Quarantine::EvictIfFull()
 {
-  if (m_records.size() <= kMostSuspects) {
+  if (m_records.size() <= kMaxSuspects) {
     return;
   }
   const auto lowest = std::min_element(
@@ -331,11 +334,11 @@
 }
 
 std::vector<QuarantineNotice>
-Quarantine::Held(TimePoint aNow) const
+Quarantine::RefusedRequests(TimePoint aNow) const
 {
   std::vector<QuarantineNotice> notices;
   for (const auto& [request, record] : m_records) {
-    if (HeldFor(request, 0, aNow)) {
+    if (RefusedFor(request, 0, aNow)) {
       notices.push_back(
         { request, QuarantineChange::Quarantined, record.crashes.size() });
     }
--- a/src/quarantine/internal/recentsuccesses.cpp
+++ b/src/quarantine/internal/recentsuccesses.cpp
@@ -9,7 +9,7 @@
 {
   m_last[aRequest] = aNow;
   m_order.push_back({ aRequest, aNow });
-  if (m_order.size() <= kMostSuccessesKept) {
+  if (m_order.size() <= kMaxRecentSuccesses) {
     return;
   }
   const auto oldest = m_order.front();
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -19,7 +19,7 @@
 //! other requests that the upstream ran. Routers report to each other which
 //! requests an upstream ran when it crashed. A request that
 //! kCrashesToQuarantine upstreams ran when they crashed is refused for
-//! kQuarantineTime and may then be tried again.
+//! kQuarantineDuration and may then be tried again.
 //!
 //! Requests that merely shared an upstream with the cause of a crash have to
 //! stay in service. One complete answer therefore clears a request, also if it
@@ -28,46 +28,46 @@
 //! that the same upstream ran.
 //!
 //! The state consists of recent reports of routers. It doesn't depend on their
-//! order, is bounded by kMostSuspects, and is sent again from time to time for
+//! order, is bounded by kMaxSuspects, and is sent again from time to time for
 //! routers that start or were cut off.
 class Quarantine
 {
 public:
   //! Records that an upstream crashed while it ran the request.
-  void Crashed(RequestFingerprint aRequest,
-               UpstreamId aUpstream,
-               TimePoint aNow);
+  void RecordCrash(RequestFingerprint aRequest,
+                   UpstreamId aUpstream,
+                   TimePoint aNow);
   //! Records that an upstream answered the request completely.
-  void EndedWell(RequestFingerprint aRequest, TimePoint aNow);
+  void RecordSuccess(RequestFingerprint aRequest, TimePoint aNow);
 
   //! Number of upstreams that crashed while they ran the request, without
   //! crashes that another request explains.
-  std::size_t Crashes(RequestFingerprint aRequest) const;
+  std::size_t CrashCount(RequestFingerprint aRequest) const;
   //! Returns how long the request has to be refused; no value if it may run.
   //! aUnsure is the number of upstreams that may have crashed while they ran
   //! it, which is still being checked.
-  std::optional<Duration> HeldFor(RequestFingerprint aRequest,
-                                  std::size_t aUnsure,
-                                  TimePoint aNow) const;
+  std::optional<Duration> RefusedFor(RequestFingerprint aRequest,
+                                     std::size_t aUnsure,
+                                     TimePoint aNow) const;
 
   //! Merges what another router reported.
-  void Take(const CrashNews& aNews, TimePoint aNow);
+  void Take(const CrashUpdates& aNews, TimePoint aNow);
   //! Returns what other routers may not know yet. Each item is returned
-  //! kTimesTold times, since reports get lost.
-  CrashNews TellNews(TimePoint aNow);
+  //! kReportsPerItem times, since reports get lost.
+  CrashUpdates TakeUnreportedCrashes(TimePoint aNow);
   //! Returns all quarantined requests and, in rotation, some of the suspects,
   //! for routers that start or were cut off.
-  CrashNews TellInTurn(TimePoint aNow);
-  //! Ends quarantines after kQuarantineTime and removes expired records.
+  CrashUpdates NextCrashRefresh(TimePoint aNow);
+  //! Ends quarantines after kQuarantineDuration and removes expired records.
   void Tick(TimePoint aNow);
 
   //! Returns the changes since the last call.
   std::vector<QuarantineNotice> TakeNotices();
   //! Number of requests that have a record.
-  std::size_t Suspects() const { return m_records.size(); }
+  std::size_t SuspectCount() const { return m_records.size(); }
   //! Returns the requests that are refused at aNow, with the number of
   //! upstreams that crashed while they ran each.
-  std::vector<QuarantineNotice> Held(TimePoint aNow) const;
+  std::vector<QuarantineNotice> RefusedRequests(TimePoint aNow) const;
 
 private:
   //! A crash of an upstream that ran the request.
@@ -105,7 +105,7 @@
   bool IsExplained(const Record& aRecord, UpstreamId aUpstream) const;
   std::size_t CountUnexplained(const Record& aRecord) const;
   void ReleaseExplained();
-  static void AppendRecord(CrashNews& aNews,
+  static void AppendRecord(CrashUpdates& aNews,
                            RequestFingerprint aRequest,
                            const Record& aRecord,
                            TimePoint aNow);
--- a/src/quarantine/quarantineconstants.h
+++ b/src/quarantine/quarantineconstants.h
@@ -21,33 +21,33 @@
 inline constexpr std::size_t kCrashesToQuarantine = 3;
 //! Duration of a quarantine. After it, one more crash is enough to quarantine
 //! the request again. Each trial may cost an upstream and the requests it runs.
-inline constexpr base::Duration kQuarantineTime = std::chrono::minutes(10);
+inline constexpr base::Duration kQuarantineDuration = std::chrono::minutes(10);
 //! Time to live of a crash record. Callers may send a request again at any
 //! time.
-inline constexpr base::Duration kCrashKept = std::chrono::hours(1);
+inline constexpr base::Duration kCrashTtl = std::chrono::hours(1);
 //! Age up to which a crash is reported to other routers. It is less than
-//! kCrashKept, since routers would otherwise renew each other's records
+//! kCrashTtl, since routers would otherwise renew each other's records
 //! forever.
-inline constexpr base::Duration kCrashTold =
-  kCrashKept - std::chrono::minutes(1);
+inline constexpr base::Duration kMaxReportedCrashAge =
+  kCrashTtl - std::chrono::minutes(1);
 //! A complete answer also clears crashes up to this long after it, since the
 //! copies of its request that ran then were sent before the answer.
-inline constexpr base::Duration kSoundFor = 1000ms;
+inline constexpr base::Duration kSuccessValidity = 1000ms;
 //! How long a request is refused until checks have shown whether upstreams that
 //! ran it crashed.
-inline constexpr base::Duration kUnsureFor = 100ms;
+inline constexpr base::Duration kPendingCheckRefusal = 100ms;
 //! Maximum number of requests that have a record, and of crashes per record.
 //! All records together take about 400 KB if they are full.
-inline constexpr std::size_t kMostSuspects = 1024;
-inline constexpr std::size_t kMostCrashesKept = 16;
+inline constexpr std::size_t kMaxSuspects = 1024;
+inline constexpr std::size_t kMaxCrashesPerSuspect = 16;
 //! Maximum number of successful requests that this router remembers: those of
 //! about half a minute.
-inline constexpr std::size_t kMostSuccessesKept = 1024;
+inline constexpr std::size_t kMaxRecentSuccesses = 1024;
 //! Maximum number of crashes in one report: 1 KB.
-inline constexpr std::size_t kMostCrashesTold = 64;
+inline constexpr std::size_t kMaxCrashesPerReport = 64;
 //! Number of reports that include each new item, since reports get lost.
-inline constexpr int kTimesTold = 5;
+inline constexpr int kReportsPerItem = 5;
 //! Number of suspects in each periodic resend: some hundred bytes.
-inline constexpr std::size_t kSuspectsInTurn = 16;
+inline constexpr std::size_t kSuspectsPerRefresh = 16;
 
 }
--- a/src/quarantine/quarantinetypes.h
+++ b/src/quarantine/quarantinetypes.h
@@ -34,7 +34,7 @@
 
 //! What one router reports to another about crashes. Ages are those at the time
 //! of sending.
-struct CrashNews
+struct CrashUpdates
 {
   std::vector<CrashReport> crashes;
   std::vector<ClearanceReport> clearances;
@@ -47,7 +47,7 @@
 enum class CheckResult : std::uint8_t
 {
   Crashed, //!< connections are refused: nothing listens any more
-  Lives,   //!< it accepts connections
+  Alive,   //!< it accepts connections
   Unknown  //!< no result within the timeout
 };
 inline constexpr auto kCheckResultNames =
@@ -58,7 +58,7 @@
 {
   Quarantined, //!< is refused from now on
   Cleared,     //!< by a complete answer, or explained by another request
-  Expired      //!< kQuarantineTime is over; it may be tried again
+  Expired      //!< kQuarantineDuration is over; it may be tried again
 };
 inline constexpr auto kQuarantineChangeNames =
   base::MakeEnumNames<QuarantineChange>("quarantined", "cleared", "expired");
--- a/src/quarantine/recentsuccesses.h
+++ b/src/quarantine/recentsuccesses.h
@@ -9,8 +9,8 @@
 namespace hemlockgauge::quarantine {
 
 //! The requests that this router's upstreams last answered completely, at most
-//! kMostSuccessesKept. If many callers send the same request, it is known to be
-//! harmless before an upstream crashes while it runs some of its copies.
+//! kMaxRecentSuccesses. If many callers send the same request, it is known to
+//! be harmless before an upstream crashes while it runs some of its copies.
 class RecentSuccesses
 {
 public:
--- a/src/quarantine/tests/crashcheckstests.cpp
+++ b/src/quarantine/tests/crashcheckstests.cpp
@@ -18,25 +18,25 @@
 Test(crashchecks, ConnectionsThatBreakTogetherCauseOneCheck)
 {
   CrashChecks checks;
-  checks.Broke(kFirst, kRequest, 100ms);
-  checks.Broke(kFirst, kOther, 103ms);
-  cr_assert(checks.TakeDue(103ms).empty());
-  cr_assert(checks.TakeDue(100ms + kCrashCheckDelay).size() == 1);
-  cr_assert(checks.TakeDue(1000ms).empty());
-  cr_assert(checks.Take(kFirst).size() == 2);
-  cr_assert(checks.Take(kFirst).empty());
+  checks.RecordBrokenConnection(kFirst, kRequest, 100ms);
+  checks.RecordBrokenConnection(kFirst, kOther, 103ms);
+  cr_assert(checks.StartDueChecks(103ms).empty());
+  cr_assert(checks.StartDueChecks(100ms + kCrashCheckDelay).size() == 1);
+  cr_assert(checks.StartDueChecks(1000ms).empty());
+  cr_assert(checks.EndCheck(kFirst).size() == 2);
+  cr_assert(checks.EndCheck(kFirst).empty());
 }
 
 Test(crashchecks, ARequestWaitsForEachUpstreamThatBrokeUnderIt)
 {
   CrashChecks checks;
-  checks.Broke(kFirst, kRequest, 100ms);
-  checks.Broke(kFirst, kRequest, 100ms);
-  checks.Broke(kSecond, kRequest, 101ms);
-  cr_assert(checks.Waiting(kRequest) == 2);
-  cr_assert(checks.Waiting(kOther) == 0);
-  checks.Take(kFirst);
-  cr_assert(checks.Waiting(kRequest) == 1);
+  checks.RecordBrokenConnection(kFirst, kRequest, 100ms);
+  checks.RecordBrokenConnection(kFirst, kRequest, 100ms);
+  checks.RecordBrokenConnection(kSecond, kRequest, 101ms);
+  cr_assert(checks.PendingChecks(kRequest) == 2);
+  cr_assert(checks.PendingChecks(kOther) == 0);
+  checks.EndCheck(kFirst);
+  cr_assert(checks.PendingChecks(kRequest) == 1);
 }
 
 Test(fingerprint, CoversAllPartsThatCopiesOfARequestShare)
--- a/src/soak/tests/flaweddialects.cpp
+++ b/src/soak/tests/flaweddialects.cpp
@@ -30,14 +30,14 @@
 }
 
 std::string
-FlawedCallers::EncodeOwn(const gateway::OwnAnswer& aAnswer) const
+FlawedCallers::EncodeLocalReply(const gateway::LocalReply& aAnswer) const
 {
   auto answer = aAnswer;
   if (m_flaw == Flaw::FalseNotRun && answer.verdict != base::Verdict::NotRun) {
     answer.verdict = base::Verdict::NotRun;
     answer.refusal = gateway::Refusal::NoUpstream;
   }
-  return m_true.EncodeOwn(answer);
+  return m_true.EncodeLocalReply(answer);
 }
 
 std::string
--- a/src/soak/tests/flaweddialects.h
+++ b/src/soak/tests/flaweddialects.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "base/enumnames.h"
-#include "gateway/icallerdialect.h"
-#include "gateway/istoredialect.h"
-#include "gateway/iupstreamdialect.h"
+#include "gateway/icallercodec.h"
+#include "gateway/istorecodec.h"
+#include "gateway/iupstreamcodec.h"
 
 #include <unordered_map>
 
@@ -38,33 +38,35 @@
                             "misses-evacuations",
                             "takes-cold-for-warm");
 
-class FlawedCallers : public gateway::ICallerDialect
+class FlawedCallers : public gateway::ICallerCodec
 {
 public:
-  FlawedCallers(Flaw aFlaw, const gateway::ICallerDialect& aTrue)
+  FlawedCallers(Flaw aFlaw, const gateway::ICallerCodec& aTrue)
     : m_flaw(aFlaw)
     , m_true(aTrue)
   {
   }
 
   gateway::CallerRequest Decode(http::RequestHead&& aHead) const override;
-  std::string EncodeHead(const gateway::UpstreamAnswer& aAnswer) const override
+  std::string EncodeHead(
+    const gateway::UpstreamResponse& aAnswer) const override
   {
     return m_true.EncodeHead(aAnswer);
   }
-  std::string EncodeOwn(const gateway::OwnAnswer& aAnswer) const override;
+  std::string EncodeLocalReply(
+    const gateway::LocalReply& aAnswer) const override;
 
 private:
   Flaw m_flaw;
-  const gateway::ICallerDialect& m_true;
+  const gateway::ICallerCodec& m_true;
   mutable std::uint64_t m_requests = 0;
   mutable std::string m_lastId;
 };
 
-class FlawedUpstreams : public gateway::IUpstreamDialect
+class FlawedUpstreams : public gateway::IUpstreamCodec
 {
 public:
-  FlawedUpstreams(Flaw aFlaw, const gateway::IUpstreamDialect& aTrue)
+  FlawedUpstreams(Flaw aFlaw, const gateway::IUpstreamCodec& aTrue)
     : m_flaw(aFlaw)
     , m_true(aTrue)
   {
@@ -72,20 +74,20 @@
 
   std::string Encode(const gateway::CallerRequest& aRequest,
                      const gateway::SendContext& aContext) const override;
-  gateway::UpstreamAnswer Decode(http::ResponseHead&& aHead) const override
+  gateway::UpstreamResponse Decode(http::ResponseHead&& aHead) const override
   {
     return m_true.Decode(std::move(aHead));
   }
 
 private:
   Flaw m_flaw;
-  const gateway::IUpstreamDialect& m_true;
+  const gateway::IUpstreamCodec& m_true;
 };
 
-class FlawedStore : public gateway::IStoreDialect
+class FlawedStore : public gateway::IStoreCodec
 {
 public:
-  FlawedStore(Flaw aFlaw, const gateway::IStoreDialect& aTrue)
+  FlawedStore(Flaw aFlaw, const gateway::IStoreCodec& aTrue)
     : m_flaw(aFlaw)
     , m_true(aTrue)
   {
@@ -113,7 +115,7 @@
   gateway::StorePage Spoil(gateway::StorePage aPage) const;
 
   Flaw m_flaw;
-  const gateway::IStoreDialect& m_true;
+  const gateway::IStoreCodec& m_true;
   mutable int m_pages = 0;
   mutable std::unordered_map<std::string, std::string> m_keys;
 };
--- a/src/soak/tests/flawedrouter.cpp
+++ b/src/soak/tests/flawedrouter.cpp
@@ -41,7 +41,7 @@
   std::signal(SIGTERM, [](int) { stopRequests++; });
   auto settings = gateway::ReadGatewaySettings(FLAGS_settings);
   if (aFlaw == soak::Flaw::StopsAtOnce) {
-    settings.grace = kNoGrace;
+    settings.stopGracePeriod = kNoGrace;
   }
   eventloop::EventLoop loop;
   const platformadapter::PlatformCallers callers;
@@ -63,7 +63,7 @@
     }
   });
   loop.Run();
-  return router.Cut() == 0 ? 0 : kExitCut;
+  return router.RequestsAborted() == 0 ? 0 : kExitCut;
 }
 
 }
