--- a/src/decision/decisionconstants.h
+++ b/src/decision/decisionconstants.h
@@ -5,77 +5,117 @@
 #include <cstddef>
 #include <cstdint>
 
-//! The figures the policy rests on; docs/DESIGN.md says where each is from.
+//! Tuning constants of the decision core; docs/DESIGN.md gives the reason for
+//! each value.
 namespace hemlockgauge::decision {
 
 using namespace std::chrono_literals;
 using base::Duration;
 
+//! Interval at which the caller sends a Tick event.
 inline constexpr Duration kTickPeriod = 100ms;
 
 // Membership
+//! Children of each router in the tree of routers.
 inline constexpr std::size_t kTreeDegree = 2;
+//! The heartbeat interval is kRoundPerPeer times the number of other alive
+//! routers, within these limits.
 inline constexpr Duration kMinRound = 1500ms;
 inline constexpr Duration kMaxRound = 3000ms;
 inline constexpr Duration kRoundPerPeer = 60ms;
+//! A neighbour that was silent for longer than this many heartbeat intervals is
+//! declared dead.
 inline constexpr int kMissedRounds = 3;
+//! Interval between probes for other routers while this router is alone.
 inline constexpr Duration kJoinProbePeriod = 500ms;
+//! Interval between probes for routers that are not alive, otherwise.
 inline constexpr Duration kRejoinProbePeriod = 6000ms;
+//! Routers per zone that watch the platform.
 inline constexpr std::size_t kWatchersPerZone = 2;
+//! A longer time between two steps means that the process was paused.
 inline constexpr Duration kPauseLimit = 1500ms;
 
 // Leases on slots
-//! A router that hears no other for so long goes on alone.
+//! A router that has received no frame of another one for this long after its
+//! start continues alone.
 inline constexpr Duration kJoinWait = 4000ms;
-inline constexpr int kLeaseRounds = 6; //!< rounds between renewals
-//! Renewals stretch with the fleet, for a router then has more owners.
+//! Minimum interval between lease renewals, in heartbeat intervals.
+inline constexpr int kLeaseRounds = 6;
+//! The renewal interval grows with the fleet, because a router then borrows
+//! from more owners.
 inline constexpr Duration kLeasePerMember = 750ms;
 inline constexpr Duration kLongestLeaseRound = 30000ms;
-inline constexpr int kLeaseExpiryRenewals = 3; //!< renewals missed
+//! A lease expires after this many renewal intervals without a message.
+inline constexpr int kLeaseExpiryRenewals = 3;
+//! A new owner of an upstream waits this long for the claims of routers that
+//! already hold slots before it grants free ones.
 inline constexpr Duration kClaimWindow = 2500ms;
+//! Minimum interval between two requests to one borrower to return slots.
 inline constexpr Duration kPressurePeriod = 2000ms;
+//! Interval between requests for slots while the pool is contended.
 inline constexpr Duration kAskPeriod = 4000ms;
-//! While there is room in the pool.
+//! The same while the pool is not contended.
 inline constexpr Duration kFreeAskPeriod = 300ms;
+//! The same while the pool is contended and many slots are missing.
 inline constexpr Duration kUrgentAskPeriod = 1000ms;
+//! An owner ignores a request for slots that is older than this.
 inline constexpr Duration kAskExpiry = 5000ms;
-//! Each owner asked costs a message, its further upstreams do not.
+//! Maximum number of owners asked at a time: each costs a message, while
+//! further upstreams of the same owner do not.
 inline constexpr std::size_t kAskOwners = 6;
 inline constexpr std::size_t kMaxAskWidth = 16;
+//! Slots that may be used beyond the lease, as a ratio of the slots held.
 inline constexpr double kOverdraftPart = 0.05;
+//! Maximum number of free slot hints in a heartbeat.
 inline constexpr std::size_t kMaxHints = 4;
 
 // Shares
+//! A workspace is backlogged if its demand exceeds its entitlement by this
+//! factor.
 inline constexpr double kBackloggedFactor = 1.02;
+//! A lag of this many seconds doubles the entitlement, before clamping.
 inline constexpr double kLagHorizonSeconds = 8.0;
+//! The lag of a workspace is clamped to plus and minus this value.
 inline constexpr double kMaxLagSeconds = 60.0;
+//! Unit of DemandEntry::served.
 inline constexpr std::uint32_t kServedUnitMs = 10;
 
 // Requests
+//! Attempts per request, the first one included.
 inline constexpr std::uint32_t kMaxAttempts = 3;
+//! Retries allowed per first attempt.
 inline constexpr double kRetryBudgetPart = 0.1;
 inline constexpr double kRetryBudgetBurst = 10.0;
+//! Estimated service time of a workspace until one of its requests has ended.
 inline constexpr Duration kFirstCostGuess = 1000ms;
 inline constexpr Duration kMinRetryAfter = 1000ms;
 inline constexpr Duration kMaxRetryAfter = 60000ms;
 
-//! What is quarantined is told anew so often, for routers that start or were
-//! cut off: some hundred bytes, while anything is.
+//! Interval at which quarantined requests are sent again, for routers that
+//! started or were cut off in the meantime. It costs some hundred bytes while
+//! any request is quarantined.
 inline constexpr Duration kQuarantineTold = 5000ms;
 
 // Upstream health
+//! Consecutive failures after which an upstream is ejected.
 inline constexpr int kFailuresToEject = 3;
+//! Time until an ejected upstream is probed; it doubles with each failed probe.
 inline constexpr Duration kFirstEjection = 1000ms;
 inline constexpr Duration kLongestEjection = 30000ms;
+//! Maximum ratio of the upstreams of a pool that may be ejected.
 inline constexpr double kMaxEjectedPart = 0.5;
 
-// Control traffic: half of 2 KB a second, for each byte sent is received.
+// Control traffic
+//! Half of the limit of 2 KB/s per router, because each byte that is sent is
+//! also received by a router.
 inline constexpr double kSendBytesPerSecond = 1000.0;
 inline constexpr double kSendBurstBytes = 4000.0;
-//! TCP and IP headers of a frame and of the packet that confirms it.
+//! TCP and IP headers of a frame and of the packet that acknowledges it.
 inline constexpr std::size_t kPacketOverheadBytes = 109;
-//! The part that heartbeats with their view may take; leases have the rest.
+//! Ratio of the byte budget for heartbeats with their demand entries; the rest
+//! is for leases.
 inline constexpr double kHeartbeatPart = 0.6;
+//! Relative change of a demand that is sent before the regular refresh.
 inline constexpr double kDemandDeadBand = 0.1;
 
 }
--- a/src/decision/decisioncore.cpp
+++ b/src/decision/decisioncore.cpp
@@ -9,7 +9,8 @@
 
 namespace hemlockgauge::decision {
 
-//! The flows over their shared state, and the order they run in.
+//! Holds the shared state and the flows, and runs the flows in a fixed order
+//! for each event.
 class CoreParts
 {
 public:
@@ -32,7 +33,8 @@
     std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
     m_slots.RebuildIfStale();
     m_requests.RefuseOrphans();
-    //! NOTE first what fits: only what then still waits is worth asking for.
+    //! NOTE requests are dispatched before the review as well, so that slots
+    //! are requested only for those that do not fit into the slots held.
     m_requests.Dispatch();
     m_slots.Review();
     m_requests.Dispatch();
@@ -90,8 +92,8 @@
     m_peers.Leave();
   }
 
-  //! A step after a long silence means this process stood still, and all it
-  //! believes is old: leases, members and documents.
+  //! Detects that the process was paused: more than kPauseLimit passed since
+  //! the last step, so leases, members and documents may be outdated.
   void NoticePause(TimePoint aNow)
   {
     const bool paused = m_started && aNow - m_state.now > kPauseLimit;
@@ -107,7 +109,8 @@
     m_wakeNote = "paused_ms=" + std::to_string(pause);
   }
 
-  //! Ends the hold when a peer was heard, or none answers in time.
+  //! Allows dispatching again after a pause, as soon as a frame of a peer was
+  //! received or kPauseLimit has passed without one.
   void EndHold()
   {
     if (!m_wakeNote.empty()) {
--- a/src/decision/decisioncore.h
+++ b/src/decision/decisioncore.h
@@ -9,8 +9,9 @@
 
 class CoreParts;
 
-//! All decisions of one router, as a step function: no thread, socket,
-//! clock or file. Feed it events with the time, carry out its actions.
+//! Makes all decisions of one router as a state machine without threads,
+//! sockets, clock or files: the caller passes in events with the current time
+//! and carries out the returned actions.
 class DecisionCore
 {
 public:
@@ -19,7 +20,8 @@
   DecisionCore(const DecisionCore&) = delete;
   DecisionCore& operator=(const DecisionCore&) = delete;
 
-  //! aNow never goes back. Actions stand in the order to carry them out.
+  //! Handles one event and returns the actions to carry out, in that order.
+  //! aNow must not be earlier than in the previous call.
   std::vector<Action> Step(TimePoint aNow, const Event& aEvent);
 
   CoreStatus Status() const;
@@ -28,7 +30,8 @@
   std::unique_ptr<CoreParts> m_parts;
 };
 
-//! Bytes that a frame takes on the network, headers of TCP and IP included.
+//! Estimates the bytes that a frame takes on the network, with the TCP and IP
+//! headers.
 std::size_t
 EstimateFrameBytes(const Frame& aFrame);
 
--- a/src/decision/decisiontypes.h
+++ b/src/decision/decisiontypes.h
@@ -13,7 +13,8 @@
 #include <variant>
 #include <vector>
 
-//! What goes into the decision core (events) and what comes out (actions).
+//! Events that the decision core handles, actions that it returns, and the
+//! frames that routers exchange.
 namespace hemlockgauge::decision {
 
 using base::Duration;
@@ -41,8 +42,8 @@
 inline constexpr auto kHostStateNames =
   base::MakeEnumNames<HostState>("live", "leaving", "gone");
 
-//! One line of the platform's host list. A higher revision replaces a
-//! lower one.
+//! One entry of the platform's host list. A higher revision replaces a lower
+//! one.
 struct HostEntry
 {
   std::string name;
@@ -64,6 +65,8 @@
 inline constexpr auto kMemberStateNames =
   base::MakeEnumNames<MemberState>("alive", "left", "dead");
 
+//! States that a router is alive, has left or is dead. Routers pass it on to
+//! each other.
 struct MemberNotice
 {
   RouterId router{};
@@ -73,48 +76,53 @@
   bool operator==(const MemberNotice&) const = default;
 };
 
-//! Demand and service of one workspace over some set of routers.
+//! Demand and service of one workspace, summed over the sender and the routers
+//! below it in the tree. Sent to the parent.
 struct DemandEntry
 {
   WorkspaceId workspace{};
   std::uint32_t demand = 0; //!< requests queued and running
-  std::uint32_t served = 0; //!< slot time in units of 10 ms, wraps around
+  std::uint32_t served = 0; //!< slot time in units of 10 ms; wraps around
 };
 
-//! What the root of the tree makes of it for the whole fleet.
+//! Demand and lag of one workspace over the whole fleet, computed by the root
+//! of the tree. Sent to the children.
 struct TotalEntry
 {
   WorkspaceId workspace{};
   std::uint32_t demand = 0;
-  std::int32_t behindMs = 0; //!< behind its share, in time of a share
+  std::int32_t behindMs =
+    0; //!< behind its share, in ms of service at its share
 };
 
-//! Slots that the owner of an upstream has free.
+//! Number of slots of an upstream that its owner has not granted to any router.
 struct FreeHint
 {
   UpstreamId upstream{};
   std::uint16_t free = 0;
 };
 
-//! From a borrower to the owner of an upstream.
+//! State of one lease and the slots wanted; sent from a borrower to the owner
+//! of the upstream.
 struct SlotReport
 {
   UpstreamId upstream{};
-  std::uint32_t ownerBoot = 0;  //!< which run of the owner granted
-  std::uint32_t ackedGrant = 0; //!< 0: a claim, no grant seen yet
+  std::uint32_t ownerBoot = 0;  //!< Frame::boot of the owner that granted
+  std::uint32_t ackedGrant = 0; //!< sequence; 0: no grant received yet (claim)
   std::uint16_t held = 0;
   std::uint16_t inUse = 0;
   std::uint16_t want = 0;
-  std::uint16_t urgency = 0; //!< held in percent of entitled; low is urgent
+  std::uint16_t urgency =
+    0; //!< slots held in percent of entitled; lowest first
 };
 
-//! From the owner of an upstream to a borrower.
+//! Slots of one upstream granted to a borrower; sent by the owner.
 struct SlotGrant
 {
   UpstreamId upstream{};
   std::uint32_t sequence = 0;
   std::uint16_t granted = 0;
-  std::uint16_t wantedBack = 0; //!< slots that routers with less wait for
+  std::uint16_t wantedBack = 0; //!< slots to return, wanted by other routers
 };
 
 struct DocumentVersion
@@ -135,11 +143,11 @@
 {
   RouterId sender{};
   std::uint32_t incarnation = 0;
-  std::uint32_t boot = 0; //!< the incarnation that this run began with
+  std::uint32_t boot = 0; //!< incarnation at the start of the process
   std::uint32_t sequence = 0;
-  std::uint32_t digest = 0;        //!< over documents and hosts known
-  std::uint32_t membersDigest = 0; //!< over the members known
-  bool wantsSnapshot = false;      //!< asks for all that the receiver knows
+  std::uint32_t digest = 0;        //!< of the known documents and hosts
+  std::uint32_t membersDigest = 0; //!< of the known members
+  bool wantsSnapshot = false;      //!< asks for the receiver's whole state
   std::vector<MemberNotice> members;
   std::vector<HostEntry> hosts;
   std::vector<DocumentVersion> versions;
@@ -155,11 +163,11 @@
 enum class AttemptOutcome
 {
   Completed,
-  ConnectFailed, //!< no byte was handed to a connection
-  Refused,       //!< the upstream refused it before running
-  NotSent,       //!< its permission had lapsed before it was sent
-  BrokenEarly,   //!< sent, and no byte of answer reached the caller
-  BrokenLate,    //!< part of the answer reached the caller
+  ConnectFailed, //!< not connected: no byte was sent
+  Refused,       //!< the upstream refused the request without running it
+  NotSent,       //!< SendRequest::validUntil had passed before it was sent
+  BrokenEarly,   //!< sent, but no byte of the answer reached the caller
+  BrokenLate,    //!< broken after part of the answer reached the caller
   CallerGone
 };
 inline constexpr auto kAttemptOutcomeNames =
@@ -183,7 +191,7 @@
   RetriesSpent,
   UpstreamFailed,
   Broken,
-  Quarantined //!< upstreams crash under it
+  Quarantined //!< upstreams crashed while they ran this request
 };
 inline constexpr auto kRefusalReasonNames =
   base::MakeEnumNames<RefusalReason>("draining",
@@ -207,7 +215,7 @@
   WorkspaceId workspace{};
   TimePoint deadline{};
   bool repeatable = false;
-  //! The same each time that the same request comes; 0: not known.
+  //! Identical for repetitions of the same request; 0: unknown.
   quarantine::RequestFingerprint fingerprint{};
 };
 
@@ -220,7 +228,7 @@
 {
   RequestId request{};
   AttemptOutcome outcome = AttemptOutcome::Completed;
-  bool upstreamLeaving = false; //!< the answer said so
+  bool upstreamLeaving = false; //!< stated in the answer
 };
 
 struct FrameReceived
@@ -255,13 +263,14 @@
   bool leaving = false;
 };
 
-//! What a look at an upstream told whose connection broke under a request.
+//! Result of CheckUpstream.
 struct UpstreamChecked
 {
   UpstreamId upstream{};
   quarantine::CheckResult result = quarantine::CheckResult::Unknown;
 };
 
+//! Sent each kTickPeriod, for work that depends on the time.
 struct Tick
 {};
 
@@ -288,7 +297,7 @@
   UpstreamId upstream{};
   base::Address address;
   std::uint32_t attempt = 1;
-  TimePoint validUntil{}; //!< not to be sent after this
+  TimePoint validUntil{}; //!< the request must not be sent later
 };
 
 struct RefuseRequest
@@ -319,26 +328,28 @@
   std::string why;
 };
 
-//! Whether this router is one of those that watch the platform.
+//! Starts or stops the watch of the platform's documents and hosts.
 struct WatchPlatform
 {
   bool on = false;
 };
 
+//! Asks an upstream for its load; answered by LoadReported.
 struct PollLoad
 {
   UpstreamId upstream{};
   base::Address address;
 };
 
-//! Whether it still listens; to be answered by UpstreamChecked.
+//! Checks whether an upstream still accepts connections; answered by
+//! UpstreamChecked. Follows a connection that broke during a request.
 struct CheckUpstream
 {
   UpstreamId upstream{};
   base::Address address;
 };
 
-//! No request is left: the process may end.
+//! The drain is complete: no request is left and the process may exit.
 struct Drained
 {};
 
@@ -377,7 +388,7 @@
                                     "woke",
                                     "invariant-broken");
 
-//! One decision, for the log and for explaining a request later.
+//! One decision, for the log and for the explanation of a request.
 struct DecisionRecord
 {
   DecisionKind kind = DecisionKind::Queued;
@@ -398,17 +409,17 @@
                             Drained,
                             DecisionRecord>;
 
-//! What the core is told at its start.
+//! Settings of a DecisionCore.
 struct CoreSettings
 {
   HostEntry self;
-  std::uint32_t incarnation = 1; //!< higher than at any earlier start
-  std::vector<base::Address> seeds;
+  std::uint32_t incarnation = 1;    //!< higher than at any earlier start
+  std::vector<base::Address> seeds; //!< peer addresses to join the fleet by
   document::PolicyKind policy = document::PolicyKind::Entitlement;
-  std::uint64_t seed = 1;
+  std::uint64_t seed = 1; //!< of the random number generator
 };
 
-// ---- what the core shows
+// ---- status
 
 struct WorkspaceStatus
 {
@@ -421,7 +432,8 @@
   double entitledFleet = 0; //!< slots
   double entitledHere = 0;  //!< slots
   double servedHere = 0;    //!< slot seconds
-  double lagSeconds = 0;    //!< behind its share, in seconds of a share
+  double lagSeconds =
+    0; //!< behind its share, in seconds of service at its share
 };
 
 struct MemberStatus
@@ -438,18 +450,18 @@
   std::string pool;
   HostState state = HostState::Live;
   bool ejected = false;
-  std::uint32_t held = 0;
-  std::uint32_t inUse = 0;
+  std::uint32_t held = 0;  //!< slots that this router may use
+  std::uint32_t inUse = 0; //!< slots that this router uses
 };
 
 struct ControlCounters
 {
   std::uint64_t framesSent = 0;
-  std::uint64_t bytesSent = 0; //!< with the headers of TCP and IP
+  std::uint64_t bytesSent = 0; //!< estimate, with the TCP and IP headers
   std::uint64_t bytesReceived = 0;
-  std::uint64_t framesDeferred = 0;
+  std::uint64_t framesDeferred = 0; //!< delayed by the byte budget
   std::uint64_t invariantsBroken = 0;
-  std::uint64_t overdrafts = 0;
+  std::uint64_t overdrafts = 0; //!< requests started beyond the slots held
   std::uint64_t retries = 0;
 };
 
@@ -458,7 +470,7 @@
   bool draining = false;
   std::uint32_t queued = 0;
   std::uint32_t running = 0;
-  std::uint32_t freeSlotsOwned = 0; //!< not lent, of upstreams owned here
+  std::uint32_t freeSlotsOwned = 0; //!< of upstreams owned here, not granted
   std::vector<DocumentVersion> documents;
   std::vector<WorkspaceStatus> workspaces;
   std::vector<MemberStatus> members;
--- a/src/decision/internal/bytebudget.h
+++ b/src/decision/internal/bytebudget.h
@@ -6,13 +6,13 @@
 
 namespace hemlockgauge::decision {
 
-//! A token bucket over the bytes this router sends for control.
+//! A token bucket that limits the bytes of control traffic this router sends.
 class ByteBudget
 {
 public:
   void Advance(base::TimePoint aNow);
   bool Allows(std::size_t aBytes) const;
-  //! May go into debt, which later frames wait for.
+  //! The budget may become negative; later frames wait until it has recovered.
   void Charge(std::size_t aBytes);
 
 private:
--- a/src/decision/internal/configuration.h
+++ b/src/decision/internal/configuration.h
@@ -10,16 +10,20 @@
 
 namespace hemlockgauge::decision {
 
+//! The offered revision is not newer than the one in force, or was refused
+//! before.
 struct DocumentStale
 {};
 
-//! The documents in force. A higher revision wins, whoever brings it; an
-//! invalid one is refused and the last good one stays.
+//! Holds the documents in force. A higher revision replaces a lower one,
+//! whatever its source; an invalid document is refused and the last valid one
+//! stays in force.
 class Configuration
 {
 public:
   using Outcome = std::variant<DocumentStale, DocumentInForce, DocumentRefused>;
 
+  //! Validates a document and puts it in force if it is newer.
   Outcome Offer(const DocumentBody& aBody);
 
   const std::map<std::string, DocumentBody>& Bodies() const { return m_bodies; }
@@ -28,8 +32,9 @@
     return m_inForce;
   }
   std::vector<DocumentVersion> Versions() const;
-  //! The revision in force; 0 if there is none.
+  //! Returns the revision in force, or 0 if there is none.
   std::uint64_t RevisionOf(const std::string& aName) const;
+  //! Identical on routers with the same revisions in force.
   std::uint32_t Digest() const { return m_digest; }
 
 private:
--- a/src/decision/internal/corestate.cpp
+++ b/src/decision/internal/corestate.cpp
@@ -24,8 +24,8 @@
   return pools.try_emplace(aPool, settings.policy).first->second;
 }
 
-//! Rounds stretch with the routers there are, so that the bytes a second
-//! do not grow with the fleet.
+//! Heartbeats are sent at longer intervals in a larger fleet, so that the bytes
+//! per second do not grow with it.
 Duration
 CoreState::Round() const
 {
--- a/src/decision/internal/corestate.h
+++ b/src/decision/internal/corestate.h
@@ -20,25 +20,31 @@
 
 namespace hemlockgauge::decision {
 
-//! What the flows of the core share.
+//! State shared by the flows of the core.
 struct CoreState
 {
   explicit CoreState(const CoreSettings& aSettings);
 
   Pool& PoolOf(PoolId aPool);
+  //! Interval between heartbeats to a neighbour.
   Duration Round() const;
+  //! Interval between renewals of a lease.
   Duration LeaseRound() const;
+  //! Time without renewal after which a lease expires.
   Duration LeaseExpiry() const;
+  //! Identical on routers with the same documents and hosts.
   std::uint32_t Digest() const;
 
   void Act(Action aAction) { actions.push_back(std::move(aAction)); }
+  //! Adds a decision to the log.
   void Note(DecisionKind aKind, std::string aWhy);
   void NoteRequest(DecisionKind aKind,
                    RequestId aRequest,
                    const std::string& aWorkspace,
                    const std::string& aUpstream,
                    std::string aWhy);
-  //! An invariant that the program asserts of itself.
+  //! Checks an invariant of the program; a violation is counted and logged with
+  //! aWhat.
   void Expect(bool aHolds, const std::string& aWhat);
   std::string NameOf(UpstreamId aUpstream) const;
   std::string NameOf(RouterId aRouter) const;
@@ -62,7 +68,8 @@
   std::mt19937_64 random;
   bool draining = false;
   bool poolsStale = true;
-  //! After a pause nothing is sent until the view is known to be fresh.
+  //! Set after a pause of the process: no request is sent to an upstream until
+  //! a peer was heard from.
   bool holdUntilFresh = false;
 };
 
--- a/src/decision/internal/crashflow.cpp
+++ b/src/decision/internal/crashflow.cpp
@@ -24,7 +24,7 @@
   const auto* host = m_state.hosts.FindUpstream(aUpstream);
   const bool broke = aOutcome == AttemptOutcome::BrokenEarly ||
                      aOutcome == AttemptOutcome::BrokenLate;
-  //! NOTE one that leaves ends its connections without a crash.
+  //! NOTE an upstream that is leaving closes its connections without a crash.
   if (broke && host != nullptr && host->state == HostState::Live) {
     m_state.crashChecks.Broke(aUpstream, fingerprint, m_state.now);
   }
@@ -94,7 +94,7 @@
     if (const auto* host = m_state.hosts.FindUpstream(upstream)) {
       m_state.Act(CheckUpstream{ upstream, host->address });
     } else {
-      m_state.crashChecks.Take(upstream); // it left meanwhile
+      m_state.crashChecks.Take(upstream); // the upstream has been removed
     }
   }
   m_state.quarantine.Tick(m_state.now);
--- a/src/decision/internal/crashflow.h
+++ b/src/decision/internal/crashflow.h
@@ -6,8 +6,8 @@
 
 namespace hemlockgauge::decision {
 
-//! Requests under which upstreams crash: whom they are kept from, and what
-//! routers tell each other of them.
+//! Quarantines requests that crash upstreams: checks upstreams after broken
+//! connections and exchanges the observed crashes with other routers.
 class CrashFlow
 {
 public:
@@ -16,17 +16,18 @@
   {
   }
 
-  //! An attempt at aUpstream ended so.
+  //! Records the outcome of an attempt at aUpstream.
   void Ended(const RequestState& aRequest,
              UpstreamId aUpstream,
              AttemptOutcome aOutcome);
-  //! For how long the request goes to no upstream; nothing: it may.
+  //! Returns for how long the request is quarantined, or nothing if it may run.
   std::optional<Duration> HeldFor(const RequestQueued& aRequest) const;
 
   void Take(const UpstreamChecked& aEvent);
   void Take(const quarantine::CrashNews& aNews);
-  //! Looks at upstreams that are due, and tells aNeighbours what is new.
-  //! Returns true if a request was quarantined since the last time.
+  //! Starts the checks of upstreams that are due and sends updates to
+  //! aNeighbours. Returns true if a request was quarantined since the last
+  //! call.
   bool Tick(const std::vector<RouterId>& aNeighbours);
 
 private:
--- a/src/decision/internal/entitlement.h
+++ b/src/decision/internal/entitlement.h
@@ -5,15 +5,16 @@
 
 namespace hemlockgauge::decision {
 
-//! One workspace that asks for slots of a pool.
+//! One workspace with a demand for slots of a pool.
 struct Claimant
 {
   double weight = 1;
   double demand = 0; //!< slots it could use
 };
 
-//! Weighted max-min fair division: no one gets more than its demand, and
-//! what one leaves goes to the others by weight. Same order as aClaimants.
+//! Divides aCapacity by weighted max-min fair sharing: no claimant gets more
+//! than its demand, and what it leaves is divided among the others by weight.
+//! The result is in the order of aClaimants.
 std::vector<double>
 DivideFairly(const std::vector<Claimant>& aClaimants, double aCapacity);
 
--- a/src/decision/internal/hosttable.cpp
+++ b/src/decision/internal/hosttable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-//! NOTE over what the entry says, not its revision: a router knows its own
-//! entry before any list gave it one.
+//! NOTE the revision is left out: a router has its own entry before the host
+//! list assigns a revision to it.
 std::uint32_t
 DigestOf(const HostEntry& aEntry)
 {
--- a/src/decision/internal/hosttable.h
+++ b/src/decision/internal/hosttable.h
@@ -7,11 +7,11 @@
 
 namespace hemlockgauge::decision {
 
-//! What the host list says of every host, the highest revision of each.
+//! Holds the entry with the highest revision of each host.
 class HostTable
 {
 public:
-  //! Returns whether the entry was news.
+  //! Adds or replaces an entry; returns false if it is not newer.
   bool Merge(const HostEntry& aEntry);
 
   const HostEntry* FindRouter(RouterId aRouter) const;
@@ -22,6 +22,7 @@
     return m_upstreams;
   }
   std::vector<HostEntry> All() const;
+  //! Identical on routers with the same entries.
   std::uint32_t Digest() const { return m_digest; }
 
 private:
--- a/src/decision/internal/lagtracker.cpp
+++ b/src/decision/internal/lagtracker.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-//! News of several seconds may come at once after a hop was late.
+//! The service of several seconds may arrive in one update after a hop of the
+//! tree was delayed.
 constexpr double kStaleSeconds = 4.0;
 
 }
@@ -46,8 +47,9 @@
   record.entitledSlotMs = 0;
 }
 
-//! NOTE the counter wraps, and falls back when a router is lost with its
-//! part of the sum; both show as an impossible step.
+//! NOTE the counter wraps around, and decreases when a router is lost together
+//! with its part of the sum. Both appear as an impossible step, which is
+//! ignored.
 void
 LagTracker::CountStep(Record& aRecord, const Demand& aTotal, double aCapacity)
 {
--- a/src/decision/internal/lagtracker.h
+++ b/src/decision/internal/lagtracker.h
@@ -7,36 +7,39 @@
 
 namespace hemlockgauge::decision {
 
-//! How far each workspace's service over the fleet is behind its share,
-//! counted only while it is backlogged: idleness earns nothing.
+//! Computes how far the service of each workspace over the fleet lags behind
+//! its share. Counted only while the workspace is backlogged, so that an idle
+//! one accumulates no credit.
 class LagTracker
 {
 public:
-  //! aEntitled and aCapacity in slots; aTotal from the fleet view.
+  //! Updates the lag of a workspace. aTotal is the total of the fleet view,
+  //! aEntitled and aCapacity are in slots.
   void Observe(WorkspaceId aWorkspace,
                const Demand& aTotal,
                double aEntitled,
                double aCapacity,
                bool aBacklogged,
                TimePoint aNow);
-  //! Takes over what another summed up; goes on from there if we have to.
+  //! Sets the lag that the root has computed; if this router becomes the root,
+  //! it continues from this value.
   void Adopt(WorkspaceId aWorkspace, double aSecondsBehind);
-  //! Takes off what all have in common, weighted by their parts: only the
-  //! differences between workspaces count.
+  //! Subtracts the mean lag, weighted by entitlement, from all workspaces: only
+  //! the differences between workspaces matter.
   void Centre(const std::map<WorkspaceId, double>& aEntitled);
-  //! Seconds of its share; above 0 is behind.
+  //! Returns the lag in seconds of service at its share; positive is behind.
   double SecondsBehind(WorkspaceId aWorkspace) const;
 
 private:
   struct Record
   {
     bool backlogged = false;
-    bool counting = false; //!< from the first news since it is backlogged
-    TimePoint since{};
+    bool counting = false; //!< a total arrived since it became backlogged
+    TimePoint since{};     //!< start of the backlog
     std::uint32_t served = 0;
-    TimePoint at{};
-    TimePoint entitledAt{};
-    double entitledSlotMs = 0; //!< since the last news
+    TimePoint at{};            //!< time of the last total
+    TimePoint entitledAt{};    //!< end of the time in entitledSlotMs
+    double entitledSlotMs = 0; //!< entitlement times time since the last total
     double secondsBehind = 0;
   };
   static void CountStep(Record& aRecord,
--- a/src/decision/internal/membership.cpp
+++ b/src/decision/internal/membership.cpp
@@ -203,8 +203,9 @@
   return true;
 }
 
-//! The alive routers, sorted by zone and id, stand as a heap of a fixed
-//! degree; sorting by zone keeps most links of the lower levels short.
+//! Rebuilds the tree: the alive routers, sorted by zone and id, form an
+//! implicit heap with kTreeDegree children per node. Sorting by zone keeps most
+//! links of the lower levels within a zone.
 void
 Membership::Rebuild()
 {
--- a/src/decision/internal/membership.h
+++ b/src/decision/internal/membership.h
@@ -8,16 +8,18 @@
 
 namespace hemlockgauge::decision {
 
+//! What is known of another router.
 struct Member
 {
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::Dead;
   std::string zone;
-  TimePoint lastHeard{};
+  TimePoint lastHeard{}; //!< time of its last frame or change
   std::uint32_t lastSequence = 0;
 };
 
-//! Where this router stands in the tree that all routers of one view form.
+//! The neighbours of this router in the tree that routers with the same view of
+//! the membership form.
 struct TreePlace
 {
   std::optional<RouterId> parent;
@@ -26,27 +28,33 @@
   bool operator==(const TreePlace&) const = default;
 };
 
-//! Which routers are alive. A notice of a higher incarnation wins; of two
-//! of the same incarnation, the worse state wins, and a router that is
-//! called dead wrongly takes a higher incarnation.
+//! Tracks which routers are alive. A notice of a higher incarnation overrides a
+//! lower one; within an incarnation, Dead overrides Left and Left overrides
+//! Alive. A router that is wrongly declared dead refutes this with a higher
+//! incarnation.
 class Membership
 {
 public:
   Membership(RouterId aSelf, std::string aZone, std::uint32_t aIncarnation);
 
-  //! Returns whether the notice was news; it may raise our incarnation.
+  //! Applies a notice; returns true if it changed the state. A notice about
+  //! this router itself may raise its incarnation.
   bool Take(const MemberNotice& aNotice,
             const std::string& aZone,
             TimePoint aNow);
-  //! A frame came; false if it is old or a copy.
+  //! Records that a frame was received; returns false if it is outdated or a
+  //! duplicate.
   bool Heard(RouterId aRouter,
              std::uint32_t aIncarnation,
              std::uint32_t aSequence,
              TimePoint aNow);
+  //! Counts a broken connection as missed heartbeats.
   void LinkLost(RouterId aRouter, Duration aRound);
-  //! Watched neighbours that were silent too long, now called dead.
+  //! Declares neighbours dead that were silent for longer than aLimit, and
+  //! returns the notices.
   std::vector<MemberNotice> CallDead(TimePoint aNow, Duration aLimit);
-  //! After a pause no silence of others counts against them.
+  //! Restarts the silence timers of the neighbours; called after a pause of
+  //! this process.
   void ForgiveSilence(TimePoint aNow);
   void Leave();
 
@@ -55,15 +63,19 @@
   const std::map<RouterId, Member>& Others() const { return m_others; }
   std::vector<MemberNotice> Notices() const;
   std::size_t AliveCount() const { return m_order.size(); }
-  //! Members ever known that did not leave by themselves.
+  //! Number of members alive or dead, with this router; those that left are not
+  //! counted.
   std::size_t KnownCount() const;
   const TreePlace& Place() const { return m_place; }
-  //! The alive router that answers for an upstream's slots.
+  //! Returns the alive router that lends the slots of an upstream, by
+  //! rendezvous hashing; routers in the zone of the upstream come first.
   RouterId OwnerOf(UpstreamId aUpstream, const std::string& aZone) const;
-  //! Whether this router is among the first few alive of its zone.
+  //! Whether this router is among the first kWatchersPerZone alive ones of its
+  //! zone.
   bool WatchesPlatform() const;
-  //! The same on two routers that know the same of all members.
+  //! Identical on routers that know the same state of all members.
   std::uint32_t Digest() const;
+  //! Increases with each change of the set of alive members.
   std::uint64_t Version() const { return m_version; }
 
 private:
--- a/src/decision/internal/outbox.cpp
+++ b/src/decision/internal/outbox.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// What FlatBuffers takes for each part; a test holds these against it.
+// Encoded sizes in FlatBuffers; a test compares them with real frames.
 constexpr std::size_t kFrameBytes = 64;
 constexpr std::size_t kVectorBytes = 16;
 constexpr std::size_t kMemberBytes = 12;
@@ -30,8 +30,8 @@
   return aVector.empty() ? 0 : kVectorBytes + aVector.size() * aEach;
 }
 
-//! Membership, hosts, documents and crashes must reach everyone in time; a
-//! plain heartbeat keeps this router from being called dead.
+//! Whether a frame is sent regardless of the budget: changes of members, hosts
+//! and documents and crash reports must reach all routers in time.
 bool
 MustNotWait(const Frame& aFrame)
 {
--- a/src/decision/internal/outbox.h
+++ b/src/decision/internal/outbox.h
@@ -9,33 +9,37 @@
 
 namespace hemlockgauge::decision {
 
-//! Gathers what is to be told each peer into one frame a peer, and lets go
-//! of no more bytes than the budget allows; what must not wait goes anyway
-//! and is paid for by what may.
+//! Collects the content for each peer in one pending frame per peer and sends
+//! no more bytes than the budget allows. Urgent frames are sent at once; their
+//! bytes are charged and delay the frames that may wait.
 class Outbox
 {
 public:
   Outbox(RouterId aSelf, std::uint32_t aBoot, ControlCounters& aCounters);
 
   void Advance(TimePoint aNow) { m_budget.Advance(aNow); }
-  //! The frame that waits for a peer; fill it in.
+  //! Returns the pending frame of a peer, to be filled in; creates it if there
+  //! is none.
   Frame& For(RouterId aRouter);
   void Drop(RouterId aRouter);
+  //! Peers with a pending frame, the longest waiting first.
   std::vector<RouterId> Waiting() const;
-  //! Lets the frame of a peer go even without room: silence would look
-  //! like death.
+  //! Exempts the pending frame of a peer from the budget: without heartbeats
+  //! the peer would declare this router dead.
   void MarkHeartbeat(RouterId aRouter) { m_heartbeats.insert(aRouter); }
   bool HasRoom(double aBytes) const
   {
     return m_budget.Allows(static_cast<std::size_t>(aBytes));
   }
-  //! Takes the frame of one peer if it may go now.
+  //! Moves the pending frame of a peer to aFrame if it may be sent now, and
+  //! completes its header; false otherwise.
   bool Take(RouterId aRouter,
             std::uint32_t aIncarnation,
             std::uint32_t aDigest,
             std::uint32_t aMembersDigest,
             Frame& aFrame);
-  //! A frame to an address whose router is not known yet.
+  //! Makes a frame for a seed address whose router is not known yet. It asks
+  //! for a snapshot.
   Frame ToSeed(std::uint32_t aIncarnation);
 
 private:
@@ -48,7 +52,7 @@
   struct Pending
   {
     Frame frame;
-    std::uint64_t order = 0; //!< the longest waiting goes first
+    std::uint64_t order = 0; //!< of creation; the lowest is sent first
   };
   std::map<RouterId, Pending> m_waiting;
   std::uint64_t m_nextOrder = 1;
--- a/src/decision/internal/peerflow.cpp
+++ b/src/decision/internal/peerflow.cpp
@@ -9,17 +9,24 @@
 
 namespace {
 
+//! For this long, a host list with state "live" does not override the
+//! announcement of an upstream that it is leaving.
 constexpr Duration kLeavingHold = 30000ms;
 constexpr Duration kLoadPollPeriod = 1000ms;
+//! Consecutive frames with a different digest after which the own state is
+//! sent.
 constexpr int kMissesToResync = 3;
+//! Size of a heartbeat without demand entries, and of one such entry.
 constexpr double kBareHeartbeatBytes = 230;
 constexpr double kEntryBytes = 12;
+//! Minimum interval between heartbeats to a neighbour, for urgent ones.
 constexpr Duration kUrgentGap = 300ms;
-//! What is costly, or makes the other side answer, is not said sooner again.
+//! Minimum interval between messages to one router that are large or cause a
+//! reply.
 constexpr Duration kRepeatGap = 1000ms;
 
-//! Platform revisions are even here; a sign of leaving that a router saw
-//! itself is the odd one above.
+//! Revisions of the host list are multiplied by this and hence even. An entry
+//! that a router marked as leaving itself has the next higher, odd revision.
 constexpr std::uint64_t kRevisionStep = 2;
 
 bool
@@ -81,9 +88,10 @@
   CompareDigest(frame);
 }
 
-//! Tells a router that we hold a notice which overrules its frames: that it
-//! is gone, or a higher incarnation from an earlier run of it. It then takes
-//! a higher one still.
+//! Notifies the sender of a frame if a known notice overrides it: the sender is
+//! considered left or dead, or has a higher incarnation from an earlier run.
+//! The sender then takes a higher incarnation. Returns whether the frame is
+//! overridden.
 bool
 PeerFlow::TellIfOverruled(const Frame& aFrame)
 {
@@ -248,7 +256,7 @@
   const auto before = m_state.configuration.RevisionOf(aBody.name);
   const auto outcome = m_state.configuration.Offer(aBody);
   m_state.Expect(m_state.configuration.RevisionOf(aBody.name) >= before,
-                 "a document went back to an older revision");
+                 "a document was replaced by an older revision");
   if (const auto* refused = std::get_if<DocumentRefused>(&outcome)) {
     m_state.Act(*refused);
   }
--- a/src/decision/internal/peerflow.h
+++ b/src/decision/internal/peerflow.h
@@ -7,7 +7,8 @@
 
 namespace hemlockgauge::decision {
 
-//! Talk with other routers: membership, documents, hosts and the view.
+//! Exchanges frames with other routers: membership, documents, hosts and
+//! demand.
 class PeerFlow
 {
 public:
@@ -21,18 +22,23 @@
   void Take(const LinkLost& aEvent);
   void Take(const DocumentRead& aEvent);
   void Take(const HostsRead& aEvent);
+  //! Merges a host entry and forwards it to the neighbours, except aFrom, if it
+  //! is newer than the one known.
   void LearnHost(const HostEntry& aEntry, std::optional<RouterId> aFrom);
-  //! The first sign that an upstream is leaving, before the host list.
+  //! Marks an upstream as leaving before the host list does so, because it
+  //! announced this itself.
   void NoteLeaving(UpstreamId aUpstream);
-  //! Heartbeats, rejoin probes and renewals that are due.
+  //! Sends the heartbeats, probes, renewals and load polls that are due.
   void Tick();
+  //! Resets timers after a pause of the process.
   void Wake();
+  //! Announces that this router leaves.
   void Leave();
-  //! Hands out the waiting frames that the budget allows.
+  //! Sends the pending frames that the byte budget allows.
   void Flush();
-  //! Those next to this router in the tree.
+  //! Children and parent of this router in the tree.
   std::vector<RouterId> Neighbours() const;
-  //! A frame came since the last pause.
+  //! Whether a frame was received since the last pause of the process.
   bool HeardSincePause() const { return m_heard; }
 
 private:
@@ -56,6 +62,7 @@
   TimePoint m_lastRenewal{};
   TimePoint m_lastProbe{ -1000000 };
   TimePoint m_lastLoadPoll{ -1000000 };
+  //! Consecutive frames whose digests differed from the own ones.
   struct Misses
   {
     int state = 0;
@@ -63,7 +70,7 @@
   };
   std::map<RouterId, Misses> m_digestMisses;
   std::map<UpstreamId, TimePoint> m_seenLeaving;
-  std::optional<bool> m_watching;
+  std::optional<bool> m_watching; //!< last WatchPlatform action
   bool m_heard = true;
 };
 
--- a/src/decision/internal/pool.cpp
+++ b/src/decision/internal/pool.cpp
@@ -11,19 +11,24 @@
 
 namespace {
 
-//! Furthest that a workspace may run ahead in weighted service, so that one
-//! under-guessed weight cannot lock it out.
+//! Maximum lead of a workspace in weighted service, so that a weight that was
+//! estimated too low cannot lock it out.
 constexpr double kMaxLeadMs = 20000;
+//! A correction by lag multiplies or divides an entitlement by at most one plus
+//! this value times the fairness weight (0 to 1).
 constexpr double kCorrectionAtFullFairness = 2.0;
-//! Leases cover this part of the mean light demand, overdrafts the rest, up
-//! to so many standard deviations of a count of independent requests.
+//! In a contended pool, leases cover this ratio of the mean light demand, and
+//! overdrafts cover the rest. Overdrafts allow for kLightPeaks standard
+//! deviations of a Poisson distributed number of requests.
 constexpr double kLightLeasedPart = 0.8;
 constexpr double kLightPeaks = 3.0;
-//! While there is room in the pool, a router holds this much more than it
-//! uses, so that the next request finds a slot.
+//! In a pool that is not contended, a router holds slots for its entitlement
+//! times this factor, so that the next request finds a free slot.
 constexpr double kSlackFactor = 1.25;
 constexpr double kLightSmoothingSeconds = 5.0;
 constexpr double kFewestOverdrafts = 2.0;
+//! Dead band of leases as a ratio of the entitlement, for fairness weights of 0
+//! and 1.
 constexpr double kWidestBand = 0.15;
 constexpr double kNarrowestBand = 0.03;
 
@@ -61,8 +66,9 @@
       queue.inDocuments = true;
     }
   }
-  //! NOTE a workspace that left the documents stays until its running work
-  //! has ended; the core refuses what it has queued.
+  //! NOTE a workspace that was removed from the documents is kept until its
+  //! running requests have ended; its queued requests are refused by
+  //! RequestFlow::RefuseOrphans.
   for (auto& [id, queue] : m_queues) {
     if (queue.Demand() > 0) {
       queue.inDocuments = false;
@@ -172,9 +178,9 @@
   SmoothLight(light, aNow);
 }
 
-//! NOTE the demand of workspaces under their share moves with every request;
-//! leases that followed it would cost a message a request. They follow its
-//! mean, and overdrafts take the peaks.
+//! NOTE the demand of light workspaces changes with every request; leases that
+//! followed it would cost a message per request. Leases follow its mean, and
+//! overdrafts cover the peaks.
 void
 Pool::SmoothLight(double aLight, TimePoint aNow)
 {
@@ -194,9 +200,12 @@
   return fleet > 0 ? here / fleet : 0;
 }
 
-//! NOTE only the root of the tree sums up who is behind, and tells the
-//! others: sums of their own differ by what each heard when, and then the
-//! entitlements of all routers add up to more slots than there are.
+//! Updates the lag of all workspaces and, at the root, passes it to the fleet
+//! view.
+//! NOTE only the root of the tree computes the lag, and the others adopt it. If
+//! each router computed it, the results would differ by the time at which each
+//! received the totals, and the entitlements of all routers would add up to
+//! more slots than the pool has.
 void
 Pool::FollowLag(const std::vector<WorkspaceQueue*>& aActive,
                 FleetView& aView,
@@ -223,8 +232,8 @@
   }
 }
 
-//! Shifts entitlements towards workspaces that are behind their share; the
-//! sum over the backlogged stays what it was.
+//! Shifts entitlements towards workspaces that are behind their share; the sum
+//! over the backlogged workspaces does not change.
 void
 Pool::CorrectByLag(std::vector<WorkspaceQueue*>& aActive,
                    FleetView& aView,
@@ -263,8 +272,9 @@
   aQueue.Push(aRequest);
 }
 
-//! A workspace under its share goes before those that fill theirs; among
-//! equals the one with least weighted service.
+//! Returns the queue to dispatch from: light workspaces come before backlogged
+//! ones, then the one with the least weighted service. Queues at their limit of
+//! requests in flight are skipped.
 WorkspaceQueue*
 Pool::NextQueue()
 {
@@ -387,8 +397,8 @@
   return needs;
 }
 
-//! NOTE not the entitlement, which follows the demand: a burst would be
-//! held against what the workspace needed before it.
+//! NOTE the entitlement is only the lower bound, because it follows the demand:
+//! a burst would be measured by what the workspace needed before it.
 double
 Pool::SlotsWithinReach(const WorkspaceQueue& aQueue) const
 {
--- a/src/decision/internal/pool.h
+++ b/src/decision/internal/pool.h
@@ -19,18 +19,22 @@
 class RequestBook;
 struct RequestState;
 
-//! What may run where next.
+//! The next request to run and the upstream to run it on.
 struct Placement
 {
   RequestId request{};
   UpstreamId upstream{};
   std::string_view why;
-  bool probe = false;
-  bool overdraft = false;
+  bool probe = false;     //!< of an ejected upstream
+  bool overdraft = false; //!< beyond the slots held
 };
 
-//! The workspaces and slots of one pool of upstreams, as this router sees
-//! them: shares over the fleet become local weights, and these the order.
+//! The workspaces and slots of one pool of upstreams at this router. Shares
+//! over the fleet are converted to local weights, and requests are dispatched
+//! in the order of weighted service.
+//!
+//! Workspaces whose demand is below their share are called light here, the
+//! others backlogged.
 class Pool
 {
 public:
@@ -49,8 +53,10 @@
     return m_queues;
   }
 
+  //! Recomputes demand, entitlement and lag of all workspaces.
   void RefreshShares(FleetView& aView, TimePoint aNow);
   void Enqueue(WorkspaceQueue& aQueue, RequestId aRequest);
+  //! Returns the next request that may run now, if any.
   std::optional<Placement> PickNext(RequestBook& aBook, TimePoint aNow);
   void Start(const Placement& aPlacement, RequestBook& aBook, TimePoint aNow);
   void FinishAttempt(RequestBook& aBook, RequestId aRequest, TimePoint aNow);
@@ -71,7 +77,7 @@
     return m_lag.SecondsBehind(aWorkspace);
   }
   std::size_t EjectedCount() const;
-  //! How long until a new request of this workspace would start.
+  //! Estimates how long a new request of a workspace would wait.
   Duration ExpectedWait(const WorkspaceQueue& aQueue) const;
 
 private:
@@ -83,8 +89,10 @@
                     FleetView& aView,
                     TimePoint aNow);
   void SmoothLight(double aLight, TimePoint aNow);
-  //! Slots it would have here if it filled all that it may.
+  //! Slots of this router that the workspace could use if its demand were
+  //! unlimited.
   double SlotsWithinReach(const WorkspaceQueue& aQueue) const;
+  //! Ratio of the workspace's demand in the fleet that is at this router.
   double PartHere(const WorkspaceQueue& aQueue) const;
   WorkspaceQueue* NextQueue();
   std::optional<Placement> PickProbe(const RequestState& aState,
@@ -98,15 +106,15 @@
   UpstreamHealth m_health;
   LagTracker m_lag;
   std::uint32_t m_concurrency = 1;
-  double m_fairness = 0.5;
-  double m_capacity = 0;
-  double m_entitledFull = 0;
-  double m_lightMean = 0;
-  double m_lightNow = 0;
-  TimePoint m_lightAt{};
-  double m_activeShares = 0;
-  double m_allDemand = 0;
-  double m_systemTime = 0;
+  double m_fairness = 0.5;   //!< 0 to 1
+  double m_capacity = 0;     //!< slots, without ejected upstreams
+  double m_entitledFull = 0; //!< slots here of backlogged workspaces
+  double m_lightMean = 0;    //!< slots here of light workspaces, smoothed
+  double m_lightNow = 0;     //!< the same, at the last refresh
+  TimePoint m_lightAt{};     //!< time of the last refresh
+  double m_activeShares = 0; //!< sum over workspaces with demand
+  double m_allDemand = 0;    //!< of the fleet, in slots
+  double m_systemTime = 0;   //!< virtual time of the last dispatched queue
   bool m_contended = false;
 };
 
--- a/src/decision/internal/requestbook.h
+++ b/src/decision/internal/requestbook.h
@@ -14,28 +14,30 @@
   Running
 };
 
+//! One request that is queued or running.
 struct RequestState
 {
   RequestQueued asked;
   RequestPhase phase = RequestPhase::Queued;
   TimePoint queuedAt{};
   TimePoint startedAt{};
-  Duration guess{};
-  UpstreamId upstream{};
+  Duration guess{};      //!< estimated service time of the running attempt
+  UpstreamId upstream{}; //!< of the last attempt
   std::optional<UpstreamId> avoid; //!< where the last attempt failed
   std::uint32_t attempts = 0;
   bool mayHaveRun = false;
 };
 
-//! Every request this router has not ended yet.
+//! Holds all requests of this router that have not ended.
 class RequestBook
 {
 public:
+  //! Returns false if the request id is already present.
   bool Add(const RequestQueued& aRequest, TimePoint aNow);
   RequestState* Find(RequestId aRequest);
   void Erase(RequestId aRequest);
   std::size_t Size() const { return m_requests.size(); }
-  //! Queued requests whose deadline has passed.
+  //! Returns the queued requests whose deadline has passed.
   std::vector<RequestId> Overdue(TimePoint aNow) const;
   std::vector<RequestId> AllQueued() const;
 
--- a/src/decision/internal/requestflow.cpp
+++ b/src/decision/internal/requestflow.cpp
@@ -52,7 +52,7 @@
     return;
   }
   if (!m_state.book.Add(aEvent, m_state.now)) {
-    m_state.Expect(false, "a request id came twice");
+    m_state.Expect(false, "duplicate request id");
     return;
   }
   m_state.retries.CountFirstAttempt();
@@ -188,7 +188,7 @@
 {
   auto* request = m_state.book.Find(aEvent.request);
   if (request == nullptr || request->phase != RequestPhase::Queued) {
-    return; // a running one ends with its attempt
+    return; // a running request ends with AttemptEnded
   }
   auto& pool = m_state.PoolOf(request->asked.pool);
   auto& queue = *pool.Find(request->asked.workspace);
@@ -206,7 +206,7 @@
 {
   auto* request = m_state.book.Find(aEvent.request);
   if (request == nullptr || request->phase != RequestPhase::Running) {
-    m_state.Expect(false, "an attempt ended that was not running");
+    m_state.Expect(false, "an attempt ended for a request that is not running");
     return;
   }
   auto& pool = m_state.PoolOf(request->asked.pool);
@@ -332,7 +332,7 @@
   auto& request = *m_state.book.Find(aPlacement.request);
   const auto* host = m_state.hosts.FindUpstream(aPlacement.upstream);
   const bool repeated = request.mayHaveRun && !request.asked.repeatable;
-  m_state.Expect(!repeated, "a request that may not be repeated went twice");
+  m_state.Expect(!repeated, "a non-repeatable request was sent twice");
   m_state.Expect(m_state.now < request.asked.deadline,
                  "a request was sent after its deadline");
   aPool.Start(aPlacement, m_state.book, m_state.now);
--- a/src/decision/internal/requestflow.h
+++ b/src/decision/internal/requestflow.h
@@ -5,7 +5,8 @@
 
 namespace hemlockgauge::decision {
 
-//! The life of a request: admitted or refused, placed, retried, ended.
+//! Handles a request from its arrival to its end: admission or refusal,
+//! placement, retries.
 class RequestFlow
 {
 public:
@@ -19,15 +20,16 @@
   void Take(const RequestAbandoned& aEvent);
   void Take(const AttemptEnded& aEvent);
   void RefuseOverdue();
-  //! Requests whose workspace left the documents get an answer at once.
+  //! Refuses queued requests whose workspace was removed from the documents.
   void RefuseOrphans();
   void RefuseAllQueued(RefusalReason aReason);
-  //! Requests that wait, and under which upstreams turned out to crash.
+  //! Refuses queued requests that have been quarantined in the meantime.
   void RefuseQuarantined();
-  //! Starts all that may start now.
+  //! Sends all queued requests that may run now.
   void Dispatch();
 
 private:
+  //! Returns why a request is not admitted, or nothing if it is.
   std::optional<RefusalReason> WhyNotAdmitted(const RequestQueued& aRequest,
                                               WorkspaceQueue& aQueue,
                                               const Pool& aPool);
@@ -35,7 +37,9 @@
               RefusalReason aReason,
               base::Verdict aVerdict,
               Duration aRetryAfter);
+  //! Refuses a queued request; the caller may retry after the expected wait.
   void RefuseKnown(RequestId aRequest, RefusalReason aReason);
+  //! The same, with a given time to retry after.
   void RefuseWaiting(RequestId aRequest,
                      RefusalReason aReason,
                      Duration aRetryAfter);
--- a/src/decision/internal/retrybudget.h
+++ b/src/decision/internal/retrybudget.h
@@ -2,13 +2,13 @@
 
 namespace hemlockgauge::decision {
 
-//! Lets retries be only a part of first attempts. Each router keeps to its
-//! own part, so the fleet as a whole does too.
+//! Limits retries to a ratio of first attempts. Each router applies the limit
+//! to its own requests, so it also holds for the whole fleet.
 class RetryBudget
 {
 public:
   void CountFirstAttempt();
-  //! Takes one retry out of the budget if there is one.
+  //! Consumes one retry of the budget; returns false if there is none.
   bool Take();
 
 private:
--- a/src/decision/internal/slotborrower.cpp
+++ b/src/decision/internal/slotborrower.cpp
@@ -13,7 +13,8 @@
 
 constexpr double kMinBandSlots = 0.6;
 constexpr double kMaxUrgency = 999;
-//! Lacking more than this part, a router asks sooner and more widely.
+//! A router that lacks more than this ratio of its entitlement, and more than
+//! kUrgentSlots, requests slots at the shorter kUrgentAskPeriod.
 constexpr double kUrgentPart = 0.25;
 constexpr double kUrgentSlots = 3;
 constexpr std::uint32_t kSlotsPerAsk = 2;
@@ -58,7 +59,7 @@
       lease.dirty = aTable.At(lent.upstream).limit > 0 || lease.extra > 0;
     }
   }
-  //! NOTE by owner, so that one ask goes to few of them.
+  //! NOTE sorted by owner, so that one round of requests reaches few owners.
   std::stable_sort(m_rotation.begin(),
                    m_rotation.end(),
                    [&](UpstreamId aLeft, UpstreamId aRight) {
@@ -103,8 +104,8 @@
     aGrant.granted > slot.limit ? aGrant.granted - slot.limit : 0;
   lease.extra -= std::min(lease.extra, raised);
   lease.acked = aGrant.sequence;
-  //! NOTE only a lowered grant waits for its confirmation; the others are
-  //! confirmed with the next report.
+  //! NOTE only a lowered grant is acknowledged at once, because the owner waits
+  //! for it; other grants are acknowledged with the next report.
   lease.dirty = lease.dirty || aGrant.granted < slot.limit;
   slot.limit = aGrant.granted;
 }
@@ -225,8 +226,8 @@
   }
 }
 
-//! NOTE owners forget an ask that is not renewed; telling them would cost
-//! as many messages as asking.
+//! NOTE owners drop a request for slots that is not repeated; withdrawing it
+//! would cost as many messages as sending it.
 void
 SlotBorrower::ForgetAsks()
 {
@@ -235,8 +236,9 @@
   }
 }
 
-//! Asks a few upstreams at a time: those said to have free slots first,
-//! then the others in turn, so that the set widens while something lacks.
+//! Requests slots of a few upstreams at a time: first those with a hint of free
+//! slots, then the others in rotation, so that repeated requests reach more
+//! upstreams.
 void
 SlotBorrower::Ask(std::uint32_t aCount,
                   const std::vector<FreeHint>& aHints,
--- a/src/decision/internal/slotborrower.h
+++ b/src/decision/internal/slotborrower.h
@@ -9,7 +9,7 @@
 
 namespace hemlockgauge::decision {
 
-//! An upstream of the pool and the router that lends its slots.
+//! An upstream of the pool, the router that lends its slots, and their number.
 struct LentUpstream
 {
   UpstreamId upstream{};
@@ -17,17 +17,18 @@
   std::uint32_t capacity = 0;
 };
 
+//! The slots that this router needs of a pool.
 struct SlotNeeds
 {
-  double entitled = 0; //!< slots of the pool that are this router's part
-  std::uint32_t queued = 0;
-  bool sparseWaiting = false; //!< a workspace under its share waits
-  bool contended = false;     //!< the fleet wants more than there is
-  double bandPart = 0.05;     //!< dead band as a part of what is entitled
+  double entitled = 0; //!< slots of the pool that this router is entitled to
+  std::uint32_t queued = 0;   //!< requests
+  bool sparseWaiting = false; //!< requests of a workspace under its share wait
+  bool contended = false;     //!< the fleet's demand exceeds the capacity
+  double bandPart = 0.05;     //!< dead band as a ratio of entitled
 };
 
-//! Asks owners for slots while this router has less than its part, and
-//! gives them back when it has more, or has no use for them.
+//! Requests slots from owners while this router holds less than its
+//! entitlement, and returns slots that exceed it or are not needed.
 class SlotBorrower
 {
 public:
@@ -35,28 +36,35 @@
 
   void SetUpstreams(const std::vector<LentUpstream>& aUpstreams,
                     SlotTable& aTable);
+  //! Applies a grant of the current owner; ignores outdated ones.
   void TakeGrant(RouterId aOwner,
                  std::uint32_t aOwnerBoot,
                  const SlotGrant& aGrant,
                  SlotTable& aTable,
                  TimePoint aNow);
-  //! Returns how many slots lapsed because their owner was silent.
+  //! Drops leases that were not renewed for longer than aExpiry; returns the
+  //! number of slots dropped.
   std::uint32_t DropLapsed(SlotTable& aTable, TimePoint aNow, Duration aExpiry);
+  //! Returns idle slots and requests missing ones, those with a hint first.
   void Review(const SlotNeeds& aNeeds,
               const std::vector<FreeHint>& aHints,
               SlotTable& aTable,
               TimePoint aNow);
-  //! After a request ended: whether its slot goes back.
+  //! Called when a request ended: returns its slot to the owner if that was
+  //! requested and the slot is not needed.
   void SlotFreed(UpstreamId aUpstream,
                  const SlotNeeds& aNeeds,
                  SlotTable& aTable);
+  //! Returns all free slots and withdraws all requests for slots.
   void ReturnAll(SlotTable& aTable);
 
+  //! Returns the reports to be sent and clears them.
   std::vector<Addressed> TakeReports(const SlotTable& aTable);
-  //! All reports for one owner, to renew its leases.
+  //! Returns all reports for one owner, to renew its leases.
   std::vector<SlotReport> Renewals(RouterId aOwner,
                                    const SlotTable& aTable) const;
   std::vector<RouterId> Owners() const;
+  //! Returns when the lease of an upstream expires unless it is renewed.
   TimePoint ExpiryOf(UpstreamId aUpstream, Duration aExpiry) const;
 
 private:
@@ -65,10 +73,10 @@
     RouterId owner{};
     std::uint32_t ownerBoot = 0;
     std::uint32_t capacity = 0;
-    std::uint32_t acked = 0;
-    std::uint32_t extra = 0; //!< asked beyond what is held
-    std::uint32_t wantedBack = 0;
-    bool dirty = false;
+    std::uint32_t acked = 0;      //!< sequence of the last grant applied
+    std::uint32_t extra = 0;      //!< slots requested beyond those held
+    std::uint32_t wantedBack = 0; //!< slots that the owner requested back
+    bool dirty = false;           //!< a report is to be sent
     TimePoint renewed{};
   };
 
@@ -88,7 +96,7 @@
                            SlotTable& aTable);
 
   std::map<UpstreamId, Lease> m_leases;
-  std::vector<UpstreamId> m_rotation;
+  std::vector<UpstreamId> m_rotation; //!< order in which upstreams are asked
   std::size_t m_next = 0;
   TimePoint m_askedAt{ -kNever };
   std::uint16_t m_urgency = 100;
--- a/src/decision/internal/slotflow.cpp
+++ b/src/decision/internal/slotflow.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-//! Rounds of lending within one step, for slots that pass between the
-//! owner and the borrower in this same router.
+//! Exchanges of reports and grants within one step, for slots that this router
+//! both owns and borrows.
 constexpr int kLocalRounds = 3;
 
 }
@@ -28,7 +28,8 @@
   }
 }
 
-//! The part of all known routers that is on our side of a partition.
+//! Ratio of the known routers that are alive, as seen from here: the size of
+//! this side of a partition.
 double
 SlotFlow::SidePart() const
 {
@@ -146,8 +147,9 @@
   }
 }
 
-//! NOTE a router that starts believes itself alone until others answer, and
-//! would lend itself every slot there is.
+//! Whether this router may own upstreams.
+//! NOTE a router that starts knows no other alive router until one answers, and
+//! would grant all slots of the pool to itself.
 bool
 SlotFlow::HasJoined() const
 {
@@ -209,7 +211,7 @@
   }
   DeliverReports();
   m_state.Expect(m_state.owner.GrantsRaisedBeyondCapacity() == 0,
-                 "an owner lent more slots than there are");
+                 "slots granted beyond the capacity of an upstream");
 }
 
 void
@@ -259,7 +261,7 @@
   }
 }
 
-//! A later report on the same upstream replaces one that still waits.
+//! Queues a report; it replaces a pending one for the same upstream.
 void
 SlotFlow::PutReport(RouterId aOwner, const SlotReport& aReport)
 {
@@ -270,6 +272,8 @@
   reports.push_back(aReport);
 }
 
+//! Queues a grant; it replaces a pending one for the same upstream, except that
+//! the higher number of slots to return is kept.
 void
 SlotFlow::PutGrant(RouterId aBorrower, const SlotGrant& aGrant)
 {
--- a/src/decision/internal/slotflow.h
+++ b/src/decision/internal/slotflow.h
@@ -6,7 +6,8 @@
 
 namespace hemlockgauge::decision {
 
-//! Which upstreams there are, who lends their slots, and the lending.
+//! Keeps the pools and the owners of upstreams up to date, and exchanges slot
+//! reports and grants with other routers.
 class SlotFlow
 {
 public:
@@ -24,11 +25,14 @@
   void RefreshShares();
   //! Rebuilds the pools after a change of documents, hosts or members.
   void RebuildIfStale();
-  //! Ends lapsed leases, asks, hands out, and queues the messages.
+  //! Drops expired leases, requests and grants slots, and queues the messages
+  //! for other routers.
   void Review();
+  //! Queues the messages that renew all leases.
   void Renew();
   void PollLoads();
-  //! Free slots to tell a neighbour: ours and what others told.
+  //! Returns the free slots to announce to a neighbour: those owned here and
+  //! those announced by the other neighbours, at most kMaxHints.
   std::vector<FreeHint> HintsFor(RouterId aNeighbour) const;
 
 private:
--- a/src/decision/internal/slotowner.cpp
+++ b/src/decision/internal/slotowner.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-//! A borrower gives way only to one that has this much less of its part.
+//! A borrower that uses all its slots is asked to return some only if another
+//! one holds a lower percentage of its entitlement, by more than this.
 constexpr std::uint32_t kPressureBandPercent = 10;
 constexpr std::uint32_t kFullPart = 100;
 
@@ -22,7 +23,8 @@
   return std::max(granted, heldSeen);
 }
 
-//! A sequence that may have gone out never changes its meaning.
+//! Changes the grant under a new sequence if the current one was already sent:
+//! a sequence always stands for the same grant.
 void
 SlotOwner::Lease::Change(std::uint32_t aGranted, std::uint32_t& aLastSequence)
 {
@@ -77,8 +79,8 @@
   if (found == m_books.end()) {
     return;
   }
-  //! NOTE what an earlier run of this router granted is not ours: its
-  //! sequences may be the same numbers.
+  //! NOTE an acknowledgement of a grant from before a restart of this router
+  //! does not count: sequences are reused after a restart.
   const bool seen = aReport.ownerBoot == m_boot;
   const auto acked = seen ? aReport.ackedGrant : 0;
   Book& book = found->second;
@@ -89,8 +91,8 @@
     const auto left = book.capacity > committed ? book.capacity - committed : 0;
     lease.Change(std::min<std::uint32_t>(aReport.held, left), m_lastSequence);
   } else if (acked == lease.sequence) {
-    //! NOTE more held than granted: an old copy of this grant was taken
-    //! again after slots had been returned under it.
+    //! NOTE if the borrower holds more than granted, it has applied a duplicate
+    //! of this grant after it had returned slots.
     if (aReport.held > lease.granted) {
       lease.Change(lease.granted, m_lastSequence);
     }
@@ -116,7 +118,8 @@
     return;
   }
   Book& book = found->second;
-  //! NOTE a report lags, so only what two in a row show counts.
+  //! NOTE load reports lag behind the grants, so the lower one of two
+  //! consecutive reports counts.
   const auto lent = book.Committed();
   const auto overdraft = static_cast<std::uint32_t>(
     std::ceil(static_cast<double>(book.capacity) * kOverdraftPart));
@@ -157,6 +160,8 @@
   }
 }
 
+//! Grants free slots one by one, each to the borrower that wants more and holds
+//! the lowest percentage of its entitlement.
 void
 SlotOwner::HandOut(Book& aBook)
 {
@@ -179,6 +184,8 @@
   }
 }
 
+//! Reduces grants beyond the usable slots one by one, each at the borrower that
+//! holds the highest percentage of its entitlement.
 void
 SlotOwner::TakeBack(Book& aBook)
 {
@@ -205,8 +212,9 @@
   }
 }
 
-//! Asks as many borrowers for a slot as others wait for, the richest first,
-//! and none again before it had time to answer.
+//! Asks borrowers to return as many slots as others wait for. Those that hold
+//! the highest percentage of their entitlement are asked first, and none again
+//! within kPressurePeriod, which leaves it time to answer.
 void
 SlotOwner::MarkPressure(Book& aBook, TimePoint aNow)
 {
--- a/src/decision/internal/slotowner.h
+++ b/src/decision/internal/slotowner.h
@@ -9,9 +9,10 @@
 
 namespace hemlockgauge::decision {
 
-//! Lends out the slots of the upstreams that this router answers for.
-//! Grants are absolute counts with a sequence, so that lost, copied or
-//! crossed messages do no harm; a new owner first hears claims.
+//! Grants slots of the upstreams that this router owns to routers that borrow
+//! them. Grants are absolute counts with a sequence number, so that lost,
+//! duplicated or reordered messages do no harm. A new owner first waits for the
+//! claims of routers that already hold slots.
 class SlotOwner
 {
 public:
@@ -22,56 +23,65 @@
   {
   }
 
-  //! Which upstreams this router owns now, with their slots.
+  //! Sets the upstreams that this router owns, with their numbers of slots.
   void SetOwned(const std::map<UpstreamId, std::uint32_t>& aCapacities,
                 TimePoint aNow);
+  //! Updates the lease of a borrower. Its first report is a claim: slots that
+  //! it holds are granted as far as the capacity allows.
   void TakeReport(RouterId aBorrower,
                   const SlotReport& aReport,
                   TimePoint aNow);
-  //! What the upstream says runs on it. What others than our borrowers run
-  //! (the far side of a partition) is taken off, but never below aSidePart
-  //! of the slots, so that neither side starves the other.
+  //! Handles the number of requests that an upstream reports as running.
+  //! Requests of routers that are not borrowers here (those on the other side
+  //! of a partition) reduce the usable slots, but not below the ratio aSidePart
+  //! of the capacity, so that neither side starves the other.
   void TakeLoad(UpstreamId aUpstream, std::uint32_t aRunning, double aSidePart);
   void ForgetRouter(RouterId aRouter);
-  //! Ends claim windows and silent leases, then hands out free slots.
+  //! Drops leases without a report for longer than aExpiry, reduces grants
+  //! beyond the usable slots, and grants free slots after the claim window.
   void Review(TimePoint aNow, Duration aExpiry);
 
+  //! Returns the changed grants to be sent and clears them.
   std::vector<Addressed> TakeGrants();
-  //! All grants of one borrower, to renew its leases.
+  //! Returns all grants of one borrower, to renew its leases.
   std::vector<SlotGrant> Renewals(RouterId aBorrower);
   std::vector<RouterId> Borrowers() const;
   std::vector<FreeHint> FreeSlots() const;
+  //! Counts violations of an invariant: stays 0.
   std::uint64_t GrantsRaisedBeyondCapacity() const { return m_badRaises; }
 
 private:
   struct Lease
   {
     std::uint32_t granted = 0;
-    std::uint32_t heldSeen = 0;
+    std::uint32_t heldSeen = 0; //!< as last reported by the borrower
     std::uint32_t inUse = 0;
     std::uint32_t want = 0;
     std::uint32_t urgency = 100;
     std::uint32_t sequence = 0;
-    std::uint32_t told = 0; //!< last sequence that went out
-    TimePoint heard{};
-    TimePoint pressedAt{};
-    TimePoint askedAt{};
+    std::uint32_t told = 0; //!< last sequence that was sent
+    TimePoint heard{};      //!< time of the last report
+    TimePoint pressedAt{};  //!< when slots were last requested back
+    TimePoint askedAt{};    //!< when want was last reported
     std::uint32_t wantedBack = 0;
-    bool dirty = false;
+    bool dirty = false; //!< the grant is to be sent
 
+    //! Slots that the borrower may hold: granted or still reported.
     std::uint32_t Committed() const;
     void Change(std::uint32_t aGranted, std::uint32_t& aLastSequence);
   };
+  //! The lending state of one owned upstream.
   struct Book
   {
     std::uint32_t capacity = 0;
-    std::uint32_t foreign = 0;
-    std::array<std::uint32_t, 2> foreignSeen{};
+    std::uint32_t foreign = 0; //!< slots used by routers without a lease here
+    std::array<std::uint32_t, 2> foreignSeen{}; //!< the last two load reports
     double sidePart = 1;
     TimePoint claimsUntil{};
     std::map<RouterId, Lease> leases;
 
     std::uint32_t Committed() const;
+    //! Slots that may be granted.
     std::uint32_t Usable() const;
   };
 
@@ -81,8 +91,8 @@
 
   std::uint32_t m_boot;
   std::map<UpstreamId, Book> m_books;
-  //! NOTE one count for all leases: a lease that was forgotten and is made
-  //! anew must not begin below what its borrower has confirmed.
+  //! NOTE shared by all leases: a lease that was dropped and is created again
+  //! must not start below the sequence that its borrower has acknowledged.
   std::uint32_t m_lastSequence = 0;
   std::uint64_t m_badRaises = 0;
 };
--- a/src/decision/internal/slotpolicy.h
+++ b/src/decision/internal/slotpolicy.h
@@ -7,17 +7,18 @@
 
 namespace hemlockgauge::decision {
 
-//! Slots by lease from the owners of the upstreams.
+//! Slots are leased from the owners of the upstreams.
 struct LeasePolicy
 {
   SlotBorrower borrower;
 };
 
-//! Baseline: every router alone with an equal part of the slots.
+//! Baseline: each router has a fixed equal part of the slots, without leases.
 struct EqualPartPolicy
 {};
 
-//! Baseline: what the upstreams report as free, to whoever comes first.
+//! Baseline: each router uses the slots that the upstreams report as free,
+//! first come, first served.
 struct LeastLoadedPolicy
 {};
 
@@ -27,15 +28,17 @@
 SlotPolicy
 MakeSlotPolicy(document::PolicyKind aKind);
 
-//! Sets each limit to this router's equal part: slots are counted through
-//! the pool, and every aRouters-th from aRank on is ours.
+//! Sets each limit to this router's equal part: the slots of the pool are
+//! numbered consecutively, and those with number modulo aRouters equal to aRank
+//! belong to this router.
 void
 SetEqualParts(const std::vector<LentUpstream>& aUpstreams,
               std::size_t aRank,
               std::size_t aRouters,
               SlotTable& aTable);
 
-//! Sets a limit to what others leave free by the upstream's own report.
+//! Sets the limit of an upstream to its capacity minus the requests of other
+//! routers, derived from aRunning as the upstream reports it.
 void
 SetReportedLimit(const LentUpstream& aUpstream,
                  std::uint32_t aRunning,
--- a/src/decision/internal/slottable.h
+++ b/src/decision/internal/slottable.h
@@ -7,7 +7,8 @@
 
 namespace hemlockgauge::decision {
 
-//! The slots of one pool's upstreams that this router may use and does use.
+//! Holds, for each upstream of a pool, the slots that this router may use and
+//! those that it uses.
 class SlotTable
 {
 public:
@@ -15,7 +16,8 @@
   {
     std::uint32_t limit = 0;
     std::uint32_t inUse = 0;
-    //! Ejected, leaving or gone: running work goes on, none is added.
+    //! The upstream is ejected, leaving or gone: running requests continue, no
+    //! request is added.
     bool closed = false;
 
     std::uint32_t Free() const
@@ -29,11 +31,12 @@
   std::map<UpstreamId, Slot>& All() { return m_slots; }
   std::uint32_t TotalLimit() const;
   std::uint32_t TotalInUse() const;
-  //! The open upstream with most free slots, other than aExcluded.
+  //! Returns the open upstream with the most free slots, except aExcluded.
   std::optional<UpstreamId> MostFree(std::optional<UpstreamId> aExcluded) const;
-  //! Uses beyond the limits.
+  //! Returns the number of slots used beyond the limits.
   std::uint32_t Overdrafts() const;
-  //! The open upstream to overdraw: the one with most slots and no overdraft.
+  //! Returns the open upstream to overdraw: the one with the highest limit
+  //! among those without overdraft, except aExcluded.
   std::optional<UpstreamId> BestOverdraft(
     std::optional<UpstreamId> aExcluded) const;
 
--- a/src/decision/internal/upstreamhealth.h
+++ b/src/decision/internal/upstreamhealth.h
@@ -6,24 +6,27 @@
 
 namespace hemlockgauge::decision {
 
-//! Takes an upstream out after failures in a row and lets single requests
-//! probe it back. Never takes out more than a part of a pool.
+//! Ejects an upstream after kFailuresToEject consecutive failures and readmits
+//! it when a single request, the probe, succeeds there. At most kMaxEjectedPart
+//! of a pool is ejected at a time.
 class UpstreamHealth
 {
 public:
-  //! Returns true if this failure ejects the upstream.
+  //! Counts a failed attempt and returns true if it ejects the upstream.
+  //! aBeforeRunning: the request did not run.
   bool Failed(UpstreamId aUpstream,
               bool aBeforeRunning,
               TimePoint aNow,
               std::size_t aPoolSize,
               std::size_t aEjectedInPool);
-  //! Returns true if this success brings it back.
+  //! Resets the failures and returns true if this readmits the upstream.
   bool Succeeded(UpstreamId aUpstream);
   bool IsEjected(UpstreamId aUpstream) const;
-  //! Whether its last failure was one that ran nothing.
+  //! Whether the request of the last failure did not run.
   bool FailedBeforeRunning(UpstreamId aUpstream) const;
   //! Whether a single request may probe an ejected upstream now.
   bool MayProbe(UpstreamId aUpstream, TimePoint aNow) const;
+  //! Schedules the next probe.
   void ProbeSent(UpstreamId aUpstream, TimePoint aNow);
 
 private:
--- a/src/decision/internal/workspacequeue.h
+++ b/src/decision/internal/workspacequeue.h
@@ -6,7 +6,8 @@
 
 namespace hemlockgauge::decision {
 
-//! One workspace at this router: what waits, what runs and what it got.
+//! Holds the queued requests of one workspace at this router and accounts for
+//! its running requests and the slot time it has used.
 class WorkspaceQueue
 {
 public:
@@ -25,30 +26,33 @@
   std::uint32_t Running() const { return m_running; }
   std::uint32_t Demand() const { return Waiting() + m_running; }
 
-  //! Charges the guessed cost; returns it.
+  //! Counts a request as running and charges its estimated service time, which
+  //! is returned.
   Duration Started(TimePoint aNow);
-  //! Corrects the guess to the measured cost.
+  //! Replaces the estimate aGuess by the measured service time.
   void Ended(TimePoint aStarted, TimePoint aNow, Duration aGuess);
 
-  //! Slot time got until now, running requests included.
+  //! Slot time used until aNow, running requests included.
   Duration ServedAt(TimePoint aNow) const;
   Duration MeanCost() const;
 
-  //! Weighted service for the local order; the least goes first.
+  //! Service divided by the local weight; the lowest is dispatched first.
   double VirtualTime() const { return m_virtualTime; }
   void LiftVirtualTime(double aFloor);
   void LowerVirtualTime(double aCeiling);
+  //! Consumes a token of the request rate limit, of which this router applies
+  //! the ratio aPart; returns false if there is none.
   bool TakeRateToken(TimePoint aNow, double aPart);
 
   const std::string& Service() const { return m_service; }
   const document::Workspace& Spec() const { return m_spec; }
 
-  // Set at each recomputation of shares.
-  double entitledHere = 0;
-  double entitledFleet = 0;
-  std::uint32_t demandFleet = 0;
-  bool backlogged = false;
-  bool inDocuments = true;
+  // Set by Pool::RefreshShares.
+  double entitledHere = 0;       //!< slots, of this router
+  double entitledFleet = 0;      //!< slots, of the whole fleet
+  std::uint32_t demandFleet = 0; //!< requests queued and running
+  bool backlogged = false;       //!< the demand exceeds the entitlement
+  bool inDocuments = true;       //!< set by Pool::Configure
 
 private:
   double LocalWeight() const;
@@ -57,8 +61,8 @@
   document::Workspace m_spec;
   std::deque<RequestId> m_queued;
   std::uint32_t m_running = 0;
-  Duration m_finished{};
-  Duration m_startSum{};
+  Duration m_finished{}; //!< slot time of ended requests
+  Duration m_startSum{}; //!< sum of the start times of running requests
   double m_meanCostMs = 0;
   double m_virtualTime = 0;
   double m_rateTokens = 0;
--- a/src/decision/tests/crashtests.cpp
+++ b/src/decision/tests/crashtests.cpp
@@ -11,11 +11,11 @@
 
 }
 
-// A request that crashes each upstream that runs it came again and again, under
-// new ids, at any router. What failed was remembered for upstreams and for the
-// one request at hand, so the fourth upstream was as likely as the first. The
-// routers of the users' platform did the same, seen as why=broken-in-answer
-// lines of one workspace and prompt size at four routers within two seconds.
+// Guards against a request that crashes each upstream that runs it and is
+// repeated under new ids at any router: without a quarantine that is shared by
+// the fleet, the fourth upstream is as likely to crash as the first. In
+// operation this shows as why=broken-in-answer log lines of one workspace and
+// prompt size at four routers within two seconds.
 Test(crash, ARequestThatCrashesUpstreamsIsKeptFromTheRest)
 {
   fixture::FleetOptions options;
@@ -36,7 +36,8 @@
   fleet.AddCallers(callers);
   fleet.RunFor(10s);
   const auto crashes = fleet.Counts().crashes;
-  // Three, and what comes while the routers hear of them.
+  // Three crashes to quarantine, plus requests that arrive within three
+  // seconds, before all routers have received the reports.
   cr_assert(crashes <= 3 + 3 * kComingsPerSecond,
             "%llu",
             static_cast<unsigned long long>(crashes));
--- a/src/decision/tests/randomtests.cpp
+++ b/src/decision/tests/randomtests.cpp
@@ -1,6 +1,6 @@
-// Long randomised runs: kills, cuts, freezes, losses, outages and races, two
-// and more at once; the invariants that the program asserts of itself and
-// those that only the fakes can see must hold throughout.
+// Long runs with random faults, several at a time: kills, partitions, pauses,
+// lost frames, outages of the platform. The invariants that the program checks
+// itself and those that the simulation checks must hold throughout.
 
 #include "fixture/corefleet.h"
 
@@ -18,7 +18,8 @@
 constexpr std::size_t kUpstreams = 9;
 constexpr int kFaults = 24;
 constexpr int kKinds = 13;
-//! A storm is far above; the budget itself is what scenarios look at.
+//! A message storm exceeds this by far; the limit of 2048 bytes per second is
+//! checked by the scenarios.
 constexpr double kMostControlBytes = 4096;
 
 void
@@ -132,7 +133,7 @@
   }
   CheckTruths(fleet);
   MakeAllWell(fleet);
-  fleet.RunFor(base::Duration(30000)); // one that was draining may end now
+  fleet.RunFor(base::Duration(30000)); // a draining router may end in this time
   MakeAllWell(fleet);
   fleet.RunFor(base::Duration(30000));
   fleet.BeginMeasure({ big });
@@ -155,7 +156,7 @@
 
 Test(random, NothingThatMustHoldIsEverBroken, .timeout = 1200)
 {
-  // More runs, other seeds: RC_PARAMS="max_success=1000 seed=7"
+  // For more runs or another seed: RC_PARAMS="max_success=1000 seed=7"
   setenv("RC_PARAMS", "max_success=100 seed=20261202 noshrink=1", 0);
   cr_assert(rc::check("random faults over a fleet of cores", RunOnce));
 }
--- a/src/decision/tests/scenariotests.cpp
+++ b/src/decision/tests/scenariotests.cpp
@@ -34,7 +34,7 @@
 
 }
 
-// One test a file, so that a failing one names itself.
+// One test per scenario file, so that the report names the file that failed.
 #define SCENARIO(aName, aFile)                                                 \
   Test(scenario, aName, .timeout = 300)                                        \
   {                                                                            \
--- a/src/decision/tests/slottests.cpp
+++ b/src/decision/tests/slottests.cpp
@@ -51,12 +51,13 @@
   owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 2, 0, 2, 50 }, kLater);
   const auto sequence = SequenceOf(owner, kFirst);
   owner.TakeReport(kFirst, { kUpstream, kBoot, sequence, 0, 0, 0, 50 }, kLater);
-  // A copy of the grant reached the borrower after it had returned all.
+  // A duplicate of the grant reached the borrower after it had returned all
+  // slots.
   owner.TakeReport(kFirst, { kUpstream, kBoot, sequence, 2, 2, 2, 50 }, kLater);
   owner.TakeReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
   owner.Review(kLater, kExpiry);
   cr_assert(GrantedTo(owner, kSecond) == 0);
-  // The borrower is told again, under a sequence that it has not seen.
+  // The grant is sent again under a new sequence.
   cr_assert(SequenceOf(owner, kFirst) > sequence);
   cr_assert(GrantedTo(owner, kFirst) == 0);
 }
@@ -80,7 +81,7 @@
 {
   auto owner = OwnerOfTwoSlots();
   owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 1, 1, 1, 50 }, kLater);
-  // Sequence 1 of the owner's earlier run, with both slots held under it.
+  // Acknowledges sequence 1 of the owner's earlier run, with both slots held.
   owner.TakeReport(kFirst, { kUpstream, kBoot - 1, 1, 2, 2, 2, 50 }, kLater);
   owner.TakeReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
   owner.Review(kLater, kExpiry);
