--- a/src/decision/decisionconstants.h
+++ b/src/decision/decisionconstants.h
@@ -18,61 +18,61 @@
 // Membership
 //! Children of each router in the tree of routers.
 inline constexpr std::size_t kTreeDegree = 2;
-//! The heartbeat interval is kRoundPerPeer times the number of other alive
-//! routers, within these limits.
-inline constexpr Duration kMinRound = 1500ms;
-inline constexpr Duration kMaxRound = 3000ms;
-inline constexpr Duration kRoundPerPeer = 60ms;
+//! The heartbeat interval is kHeartbeatIntervalPerPeer times the number of
+//! other alive routers, within these limits.
+inline constexpr Duration kMinHeartbeatInterval = 1500ms;
+inline constexpr Duration kMaxHeartbeatInterval = 3000ms;
+inline constexpr Duration kHeartbeatIntervalPerPeer = 60ms;
 //! A neighbour that was silent for longer than this many heartbeat intervals is
 //! declared dead.
-inline constexpr int kMissedRounds = 3;
+inline constexpr int kMaxMissedHeartbeats = 3;
 //! Interval between probes for other routers while this router is alone.
-inline constexpr Duration kJoinProbePeriod = 500ms;
+inline constexpr Duration kJoinProbeInterval = 500ms;
 //! Interval between probes for routers that are not alive, otherwise.
-inline constexpr Duration kRejoinProbePeriod = 6000ms;
+inline constexpr Duration kRejoinProbeInterval = 6000ms;
 //! Routers per zone that watch the platform.
 inline constexpr std::size_t kWatchersPerZone = 2;
 //! A longer time between two steps means that the process was paused.
-inline constexpr Duration kPauseLimit = 1500ms;
+inline constexpr Duration kPauseThreshold = 1500ms;
 
 // Leases on slots
 //! A router that has received no frame of another one for this long after its
 //! start continues alone.
-inline constexpr Duration kJoinWait = 4000ms;
+inline constexpr Duration kJoinTimeout = 4000ms;
 //! Minimum interval between lease renewals, in heartbeat intervals.
-inline constexpr int kLeaseRounds = 6;
+inline constexpr int kMinHeartbeatsPerRenewal = 6;
 //! The renewal interval grows with the fleet, because a router then borrows
 //! from more owners.
-inline constexpr Duration kLeasePerMember = 750ms;
-inline constexpr Duration kLongestLeaseRound = 30000ms;
+inline constexpr Duration kRenewalIntervalPerMember = 750ms;
+inline constexpr Duration kMaxRenewalInterval = 30000ms;
 //! A lease expires after this many renewal intervals without a message.
-inline constexpr int kLeaseExpiryRenewals = 3;
+inline constexpr int kMaxMissedRenewals = 3;
 //! A new owner of an upstream waits this long for the claims of routers that
 //! already hold slots before it grants free ones.
 inline constexpr Duration kClaimWindow = 2500ms;
 //! Minimum interval between two requests to one borrower to return slots.
-inline constexpr Duration kPressurePeriod = 2000ms;
+inline constexpr Duration kReturnRequestInterval = 2000ms;
 //! Interval between requests for slots while the pool is contended.
-inline constexpr Duration kAskPeriod = 4000ms;
+inline constexpr Duration kSlotRequestInterval = 4000ms;
 //! The same while the pool is not contended.
-inline constexpr Duration kFreeAskPeriod = 300ms;
+inline constexpr Duration kUncontendedSlotRequestInterval = 300ms;
 //! The same while the pool is contended and many slots are missing.
-inline constexpr Duration kUrgentAskPeriod = 1000ms;
+inline constexpr Duration kUrgentSlotRequestInterval = 1000ms;
 //! An owner ignores a request for slots that is older than this.
-inline constexpr Duration kAskExpiry = 5000ms;
+inline constexpr Duration kSlotRequestExpiry = 5000ms;
 //! Maximum number of owners asked at a time: each costs a message, while
 //! further upstreams of the same owner do not.
-inline constexpr std::size_t kAskOwners = 6;
-inline constexpr std::size_t kMaxAskWidth = 16;
+inline constexpr std::size_t kMaxOwnersPerSlotRequest = 6;
+inline constexpr std::size_t kMaxUpstreamsPerSlotRequest = 16;
 //! Slots that may be used beyond the lease, as a ratio of the slots held.
-inline constexpr double kOverdraftPart = 0.05;
+inline constexpr double kOverdraftRatio = 0.05;
 //! Maximum number of free slot hints in a heartbeat.
 inline constexpr std::size_t kMaxHints = 4;
 
 // Shares
-//! A workspace is backlogged if its demand exceeds its entitlement by this
+//! A workspace is backlogged if its demand exceeds its entitlement times this
 //! factor.
-inline constexpr double kBackloggedFactor = 1.02;
+inline constexpr double kMinBacklogRatio = 1.02;
 //! A lag of this many seconds doubles the entitlement, before clamping.
 inline constexpr double kLagHorizonSeconds = 8.0;
 //! The lag of a workspace is clamped to plus and minus this value.
@@ -84,26 +84,26 @@
 //! Attempts per request, the first one included.
 inline constexpr std::uint32_t kMaxAttempts = 3;
 //! Retries allowed per first attempt.
-inline constexpr double kRetryBudgetPart = 0.1;
+inline constexpr double kRetryBudgetRatio = 0.1;
 inline constexpr double kRetryBudgetBurst = 10.0;
 //! Estimated service time of a workspace until one of its requests has ended.
-inline constexpr Duration kFirstCostGuess = 1000ms;
+inline constexpr Duration kInitialServiceTime = 1000ms;
 inline constexpr Duration kMinRetryAfter = 1000ms;
 inline constexpr Duration kMaxRetryAfter = 60000ms;
 
 //! Interval at which quarantined requests are sent again, for routers that
 //! started or were cut off in the meantime. It costs some hundred bytes while
 //! any request is quarantined.
-inline constexpr Duration kQuarantineTold = 5000ms;
+inline constexpr Duration kQuarantineListInterval = 5000ms;
 
 // Upstream health
 //! Consecutive failures after which an upstream is ejected.
 inline constexpr int kFailuresToEject = 3;
 //! Time until an ejected upstream is probed; it doubles with each failed probe.
-inline constexpr Duration kFirstEjection = 1000ms;
-inline constexpr Duration kLongestEjection = 30000ms;
+inline constexpr Duration kMinEjectionTime = 1000ms;
+inline constexpr Duration kMaxEjectionTime = 30000ms;
 //! Maximum ratio of the upstreams of a pool that may be ejected.
-inline constexpr double kMaxEjectedPart = 0.5;
+inline constexpr double kMaxEjectedRatio = 0.5;
 
 // Control traffic
 //! Half of the limit of 2 KB/s per router, because each byte that is sent is
@@ -114,7 +114,7 @@
 inline constexpr std::size_t kPacketOverheadBytes = 109;
 //! Ratio of the byte budget for heartbeats with their demand entries; the rest
 //! is for leases.
-inline constexpr double kHeartbeatPart = 0.6;
+inline constexpr double kHeartbeatBudgetRatio = 0.6;
 //! Relative change of a demand that is sent before the regular refresh.
 inline constexpr double kDemandDeadBand = 0.1;
 
--- a/src/decision/decisioncore.cpp
+++ b/src/decision/decisioncore.cpp
@@ -25,23 +25,23 @@
 
   std::vector<Action> Step(TimePoint aNow, const Event& aEvent)
   {
-    NoticePause(aNow);
+    DetectPause(aNow);
     m_state.now = aNow;
     m_state.outbox.Advance(aNow);
     m_state.actions.clear();
     m_requests.RefuseOverdue();
     std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
     m_slots.RebuildIfStale();
-    m_requests.RefuseOrphans();
+    m_requests.RefuseRemovedWorkspaces();
     //! NOTE requests are dispatched before the review as well, so that slots
     //! are requested only for those that do not fit into the slots held.
     m_requests.Dispatch();
     m_slots.Review();
     m_requests.Dispatch();
     m_peers.Flush();
-    if (m_state.draining && m_state.book.Size() == 0 && !m_drainedTold) {
-      m_drainedTold = true;
-      m_state.Act(Drained{});
+    if (m_state.draining && m_state.requests.Size() == 0 && !m_drainedSent) {
+      m_drainedSent = true;
+      m_state.AddAction(Drained{});
     }
     return std::move(m_state.actions);
   }
@@ -58,32 +58,32 @@
     }
     EndHold();
   }
-  void Handle(const RequestQueued& aEvent) { m_requests.Take(aEvent); }
-  void Handle(const RequestAbandoned& aEvent) { m_requests.Take(aEvent); }
+  void Handle(const RequestQueued& aEvent) { m_requests.Handle(aEvent); }
+  void Handle(const RequestAbandoned& aEvent) { m_requests.Handle(aEvent); }
   void Handle(const AttemptEnded& aEvent)
   {
     if (aEvent.upstreamLeaving) {
-      if (const auto* request = m_state.book.Find(aEvent.request)) {
-        m_peers.NoteLeaving(request->upstream);
+      if (const auto* request = m_state.requests.Find(aEvent.request)) {
+        m_peers.MarkLeaving(request->upstream);
       }
     }
-    m_requests.Take(aEvent);
+    m_requests.Handle(aEvent);
   }
   void Handle(const FrameReceived& aEvent)
   {
-    m_crashes.Take(aEvent.frame.crashNews);
-    m_peers.Take(aEvent);
+    m_crashes.Handle(aEvent.frame.crashNews);
+    m_peers.Handle(aEvent);
   }
-  void Handle(const UpstreamChecked& aEvent) { m_crashes.Take(aEvent); }
-  void Handle(const LinkLost& aEvent) { m_peers.Take(aEvent); }
-  void Handle(const DocumentRead& aEvent) { m_peers.Take(aEvent); }
-  void Handle(const HostsRead& aEvent) { m_peers.Take(aEvent); }
+  void Handle(const UpstreamChecked& aEvent) { m_crashes.Handle(aEvent); }
+  void Handle(const LinkLost& aEvent) { m_peers.Handle(aEvent); }
+  void Handle(const DocumentRead& aEvent) { m_peers.Handle(aEvent); }
+  void Handle(const HostsRead& aEvent) { m_peers.Handle(aEvent); }
   void Handle(const LoadReported& aEvent)
   {
     if (aEvent.leaving) {
-      m_peers.NoteLeaving(aEvent.upstream);
+      m_peers.MarkLeaving(aEvent.upstream);
     }
-    m_slots.Take(aEvent);
+    m_slots.Handle(aEvent);
   }
   void Handle(const DrainStarted&)
   {
@@ -92,30 +92,30 @@
     m_peers.Leave();
   }
 
-  //! Detects that the process was paused: more than kPauseLimit passed since
-  //! the last step, so leases, members and documents may be outdated.
-  void NoticePause(TimePoint aNow)
+  //! Detects that the process was paused: more than kPauseThreshold passed
+  //! since the last step, so leases, members and documents may be outdated.
+  void DetectPause(TimePoint aNow)
   {
-    const bool paused = m_started && aNow - m_state.now > kPauseLimit;
+    const bool paused = m_started && aNow - m_state.now > kPauseThreshold;
     m_started = true;
     if (!paused) {
       return;
     }
-    m_holdUntil = aNow + kPauseLimit;
+    m_holdUntil = aNow + kPauseThreshold;
     m_state.holdUntilFresh = m_state.membership.AliveCount() > 1;
     const auto pause = (aNow - m_state.now).count();
     m_state.now = aNow;
-    m_peers.Wake();
-    m_wakeNote = "paused_ms=" + std::to_string(pause);
+    m_peers.ResumeAfterPause();
+    m_pauseRecord = "paused_ms=" + std::to_string(pause);
   }
 
   //! Allows dispatching again after a pause, as soon as a frame of a peer was
-  //! received or kPauseLimit has passed without one.
+  //! received or kPauseThreshold has passed without one.
   void EndHold()
   {
-    if (!m_wakeNote.empty()) {
-      m_state.Note(DecisionKind::Woke, m_wakeNote);
-      m_wakeNote.clear();
+    if (!m_pauseRecord.empty()) {
+      m_state.Record(DecisionKind::Woke, m_pauseRecord);
+      m_pauseRecord.clear();
     }
     const bool heard = m_peers.HeardSincePause();
     if (m_state.holdUntilFresh && (heard || m_state.now >= m_holdUntil)) {
@@ -129,9 +129,9 @@
   CrashFlow m_crashes;
   RequestFlow m_requests;
   bool m_started = false;
-  bool m_drainedTold = false;
+  bool m_drainedSent = false;
   TimePoint m_holdUntil{};
-  std::string m_wakeNote;
+  std::string m_pauseRecord;
 };
 
 CoreStatus
@@ -141,7 +141,7 @@
   status.draining = m_state.draining;
   status.documents = m_state.configuration.Versions();
   status.counters = m_state.counters;
-  for (const auto& hint : m_state.owner.FreeSlots()) {
+  for (const auto& hint : m_state.slotOwner.FreeSlots()) {
     status.freeSlotsOwned += hint.free;
   }
   for (const auto& [poolId, pool] : m_state.pools) {
@@ -158,12 +158,12 @@
           queue.entitledFleet,
           queue.entitledHere,
           std::chrono::duration<double>(queue.ServedAt(m_state.now)).count(),
-          pool.SecondsBehind(id) });
+          pool.LagSeconds(id) });
     }
   }
   status.members.push_back({ m_state.settings.self.name,
                              m_state.settings.self.zone,
-                             m_state.membership.Own().state,
+                             m_state.membership.OwnNotice().state,
                              m_state.settings.self.address });
   for (const auto& [router, member] : m_state.membership.Others()) {
     const auto* host = m_state.hosts.FindRouter(router);
--- a/src/decision/internal/corestate.cpp
+++ b/src/decision/internal/corestate.cpp
@@ -11,7 +11,7 @@
   : settings(aSettings)
   , self(RouterId(base::HashName(aSettings.self.name)))
   , membership(self, aSettings.self.zone, aSettings.incarnation)
-  , owner(aSettings.incarnation)
+  , slotOwner(aSettings.incarnation)
   , outbox(self, aSettings.incarnation, counters)
   , random(aSettings.seed)
 {
@@ -27,24 +27,27 @@
 //! Heartbeats are sent at longer intervals in a larger fleet, so that the bytes
 //! per second do not grow with it.
 Duration
-CoreState::Round() const
+CoreState::HeartbeatInterval() const
 {
   const auto peers = static_cast<Duration::rep>(membership.AliveCount()) - 1;
-  return std::clamp(kRoundPerPeer * peers, kMinRound, kMaxRound);
+  return std::clamp(kHeartbeatIntervalPerPeer * peers,
+                    kMinHeartbeatInterval,
+                    kMaxHeartbeatInterval);
 }
 
 Duration
-CoreState::LeaseRound() const
+CoreState::RenewalInterval() const
 {
   const auto members = static_cast<Duration::rep>(membership.AliveCount());
-  return std::clamp(
-    kLeasePerMember * members, Round() * kLeaseRounds, kLongestLeaseRound);
+  return std::clamp(kRenewalIntervalPerMember * members,
+                    HeartbeatInterval() * kMinHeartbeatsPerRenewal,
+                    kMaxRenewalInterval);
 }
 
 Duration
 CoreState::LeaseExpiry() const
 {
-  return LeaseRound() * kLeaseExpiryRenewals;
+  return RenewalInterval() * kMaxMissedRenewals;
 }
 
 std::uint32_t
@@ -54,28 +57,28 @@
 }
 
 void
-CoreState::Note(DecisionKind aKind, std::string aWhy)
+CoreState::Record(DecisionKind aKind, std::string aWhy)
 {
-  Act(DecisionRecord{ aKind, RequestId{}, "", "", std::move(aWhy) });
+  AddAction(DecisionRecord{ aKind, RequestId{}, "", "", std::move(aWhy) });
 }
 
 void
-CoreState::NoteRequest(DecisionKind aKind,
-                       RequestId aRequest,
-                       const std::string& aWorkspace,
-                       const std::string& aUpstream,
-                       std::string aWhy)
+CoreState::RecordRequest(DecisionKind aKind,
+                         RequestId aRequest,
+                         const std::string& aWorkspace,
+                         const std::string& aUpstream,
+                         std::string aWhy)
 {
-  Act(
+  AddAction(
     DecisionRecord{ aKind, aRequest, aWorkspace, aUpstream, std::move(aWhy) });
 }
 
 void
-CoreState::Expect(bool aHolds, const std::string& aWhat)
+CoreState::CheckInvariant(bool aCondition, const std::string& aWhat)
 {
-  if (!aHolds) {
+  if (!aCondition) {
     counters.invariantsBroken++;
-    Note(DecisionKind::InvariantBroken, aWhat);
+    Record(DecisionKind::InvariantBroken, aWhat);
   }
 }
 
--- a/src/decision/internal/corestate.h
+++ b/src/decision/internal/corestate.h
@@ -7,7 +7,7 @@
 #include "decision/internal/membership.h"
 #include "decision/internal/outbox.h"
 #include "decision/internal/pool.h"
-#include "decision/internal/requestbook.h"
+#include "decision/internal/requesttable.h"
 #include "decision/internal/retrybudget.h"
 #include "decision/internal/slotowner.h"
 #include "quarantine/crashchecks.h"
@@ -27,25 +27,25 @@
 
   Pool& PoolOf(PoolId aPool);
   //! Interval between heartbeats to a neighbour.
-  Duration Round() const;
+  Duration HeartbeatInterval() const;
   //! Interval between renewals of a lease.
-  Duration LeaseRound() const;
+  Duration RenewalInterval() const;
   //! Time without renewal after which a lease expires.
   Duration LeaseExpiry() const;
   //! Identical on routers with the same documents and hosts.
   std::uint32_t Digest() const;
 
-  void Act(Action aAction) { actions.push_back(std::move(aAction)); }
+  void AddAction(Action aAction) { actions.push_back(std::move(aAction)); }
   //! Adds a decision to the log.
-  void Note(DecisionKind aKind, std::string aWhy);
-  void NoteRequest(DecisionKind aKind,
-                   RequestId aRequest,
-                   const std::string& aWorkspace,
-                   const std::string& aUpstream,
-                   std::string aWhy);
+  void Record(DecisionKind aKind, std::string aWhy);
+  void RecordRequest(DecisionKind aKind,
+                     RequestId aRequest,
+                     const std::string& aWorkspace,
+                     const std::string& aUpstream,
+                     std::string aWhy);
   //! Checks an invariant of the program; a violation is counted and logged with
   //! aWhat.
-  void Expect(bool aHolds, const std::string& aWhat);
+  void CheckInvariant(bool aCondition, const std::string& aWhat);
   std::string NameOf(UpstreamId aUpstream) const;
   std::string NameOf(RouterId aRouter) const;
 
@@ -57,11 +57,11 @@
   Membership membership;
   HostTable hosts;
   Configuration configuration;
-  FleetView view;
+  FleetView fleetView;
   std::map<PoolId, Pool> pools;
-  SlotOwner owner;
-  RequestBook book;
-  RetryBudget retries;
+  SlotOwner slotOwner;
+  RequestTable requests;
+  RetryBudget retryBudget;
   quarantine::CrashChecks crashChecks;
   quarantine::Quarantine quarantine;
   Outbox outbox;
--- a/src/decision/internal/crashflow.cpp
+++ b/src/decision/internal/crashflow.cpp
@@ -9,11 +9,11 @@
 using quarantine::RequestFingerprint;
 
 void
-CrashFlow::Ended(const RequestState& aRequest,
-                 UpstreamId aUpstream,
-                 AttemptOutcome aOutcome)
+CrashFlow::RecordOutcome(const RequestState& aRequest,
+                         UpstreamId aUpstream,
+                         AttemptOutcome aOutcome)
 {
-  const auto fingerprint = aRequest.asked.fingerprint;
+  const auto fingerprint = aRequest.parameters.fingerprint;
   if (fingerprint == RequestFingerprint{}) {
     return;
   }
@@ -22,26 +22,28 @@
     return;
   }
   const auto* host = m_state.hosts.FindUpstream(aUpstream);
-  const bool broke = aOutcome == AttemptOutcome::BrokenEarly ||
-                     aOutcome == AttemptOutcome::BrokenLate;
+  const bool isBroken = aOutcome == AttemptOutcome::BrokenEarly ||
+                        aOutcome == AttemptOutcome::BrokenLate;
   //! NOTE an upstream that is leaving closes its connections without a crash.
-  if (broke && host != nullptr && host->state == HostState::Live) {
+  if (isBroken && host != nullptr && host->state == HostState::Live) {
     m_state.crashChecks.Broke(aUpstream, fingerprint, m_state.now);
   }
 }
 
 std::optional<Duration>
-CrashFlow::HeldFor(const RequestQueued& aRequest) const
+CrashFlow::QuarantinedFor(const RequestQueued& aRequest) const
 {
   if (aRequest.fingerprint == RequestFingerprint{}) {
     return std::nullopt;
   }
-  const auto unsure = m_state.crashChecks.Waiting(aRequest.fingerprint);
-  return m_state.quarantine.HeldFor(aRequest.fingerprint, unsure, m_state.now);
+  const auto uncheckedBreaks =
+    m_state.crashChecks.Waiting(aRequest.fingerprint);
+  return m_state.quarantine.HeldFor(
+    aRequest.fingerprint, uncheckedBreaks, m_state.now);
 }
 
 void
-CrashFlow::Take(const UpstreamChecked& aEvent)
+CrashFlow::Handle(const UpstreamChecked& aEvent)
 {
   const auto broken = m_state.crashChecks.Take(aEvent.upstream);
   if (aEvent.result != CheckResult::Crashed) {
@@ -53,25 +55,25 @@
 }
 
 void
-CrashFlow::Take(const CrashNews& aNews)
+CrashFlow::Handle(const CrashNews& aUpdates)
 {
-  m_state.quarantine.Take(aNews, m_state.now);
+  m_state.quarantine.Take(aUpdates, m_state.now);
 }
 
 void
-CrashFlow::Tell(const std::vector<RouterId>& aNeighbours,
-                const CrashNews& aNews)
+CrashFlow::SendUpdates(const std::vector<RouterId>& aNeighbours,
+                       const CrashNews& aUpdates)
 {
-  if (aNews.IsEmpty()) {
+  if (aUpdates.IsEmpty()) {
     return;
   }
   for (const auto neighbour : aNeighbours) {
-    m_state.outbox.For(neighbour).crashNews = aNews;
+    m_state.outbox.FrameFor(neighbour).crashNews = aUpdates;
   }
 }
 
 bool
-CrashFlow::NoteChanges()
+CrashFlow::RecordChanges()
 {
   bool quarantined = false;
   for (const auto& notice : m_state.quarantine.TakeNotices()) {
@@ -79,10 +81,11 @@
       quarantined || notice.change == quarantine::QuarantineChange::Quarantined;
     const auto change =
       quarantine::kQuarantineChangeNames.NameOf(notice.change);
-    m_state.Note(DecisionKind::QuarantineChanged,
-                 "fingerprint=" + quarantine::FingerprintText(notice.request) +
-                   " change=" + std::string(change) +
-                   " crashes=" + std::to_string(notice.crashes));
+    m_state.Record(
+      DecisionKind::QuarantineChanged,
+      "fingerprint=" + quarantine::FingerprintText(notice.request) +
+        " change=" + std::string(change) +
+        " crashes=" + std::to_string(notice.crashes));
   }
   return quarantined;
 }
@@ -92,20 +95,20 @@
 {
   for (const auto upstream : m_state.crashChecks.TakeDue(m_state.now)) {
     if (const auto* host = m_state.hosts.FindUpstream(upstream)) {
-      m_state.Act(CheckUpstream{ upstream, host->address });
+      m_state.AddAction(CheckUpstream{ upstream, host->address });
     } else {
       m_state.crashChecks.Take(upstream); // the upstream has been removed
     }
   }
   m_state.quarantine.Tick(m_state.now);
-  const bool inTurn = m_state.now - m_toldInTurnAt >= kQuarantineTold;
-  if (inTurn) {
-    m_toldInTurnAt = m_state.now;
-    Tell(aNeighbours, m_state.quarantine.TellInTurn(m_state.now));
+  const bool listDue = m_state.now - m_listSentAt >= kQuarantineListInterval;
+  if (listDue) {
+    m_listSentAt = m_state.now;
+    SendUpdates(aNeighbours, m_state.quarantine.TellInTurn(m_state.now));
   } else {
-    Tell(aNeighbours, m_state.quarantine.TellNews(m_state.now));
+    SendUpdates(aNeighbours, m_state.quarantine.TellNews(m_state.now));
   }
-  return NoteChanges();
+  return RecordChanges();
 }
 
 }
--- a/src/decision/internal/crashflow.h
+++ b/src/decision/internal/crashflow.h
@@ -17,26 +17,26 @@
   }
 
   //! Records the outcome of an attempt at aUpstream.
-  void Ended(const RequestState& aRequest,
-             UpstreamId aUpstream,
-             AttemptOutcome aOutcome);
+  void RecordOutcome(const RequestState& aRequest,
+                     UpstreamId aUpstream,
+                     AttemptOutcome aOutcome);
   //! Returns for how long the request is quarantined, or nothing if it may run.
-  std::optional<Duration> HeldFor(const RequestQueued& aRequest) const;
+  std::optional<Duration> QuarantinedFor(const RequestQueued& aRequest) const;
 
-  void Take(const UpstreamChecked& aEvent);
-  void Take(const quarantine::CrashNews& aNews);
+  void Handle(const UpstreamChecked& aEvent);
+  void Handle(const quarantine::CrashNews& aUpdates);
   //! Starts the checks of upstreams that are due and sends updates to
   //! aNeighbours. Returns true if a request was quarantined since the last
   //! call.
   bool Tick(const std::vector<RouterId>& aNeighbours);
 
 private:
-  void Tell(const std::vector<RouterId>& aNeighbours,
-            const quarantine::CrashNews& aNews);
-  bool NoteChanges();
+  void SendUpdates(const std::vector<RouterId>& aNeighbours,
+                   const quarantine::CrashNews& aUpdates);
+  bool RecordChanges();
 
   CoreState& m_state;
-  TimePoint m_toldInTurnAt{};
+  TimePoint m_listSentAt{};
 };
 
 }
--- a/src/decision/internal/entitlement.cpp
+++ b/src/decision/internal/entitlement.cpp
@@ -6,7 +6,7 @@
 namespace hemlockgauge::decision {
 
 std::vector<double>
-DivideFairly(const std::vector<Claimant>& aClaimants, double aCapacity)
+MaxMinFairShares(const std::vector<Claimant>& aClaimants, double aCapacity)
 {
   std::vector<std::size_t> order(aClaimants.size());
   std::iota(order.begin(), order.end(), 0);
@@ -20,16 +20,16 @@
     weightLeft += claimant.weight;
   }
   double left = aCapacity;
-  std::vector<double> parts(aClaimants.size(), 0);
+  std::vector<double> shares(aClaimants.size(), 0);
   for (const auto index : order) {
     const auto& claimant = aClaimants[index];
-    const double fair =
+    const double fairShare =
       weightLeft > 0 ? left * claimant.weight / weightLeft : 0;
-    parts[index] = std::min(claimant.demand, std::max(fair, 0.0));
-    left -= parts[index];
+    shares[index] = std::min(claimant.demand, std::max(fairShare, 0.0));
+    left -= shares[index];
     weightLeft -= claimant.weight;
   }
-  return parts;
+  return shares;
 }
 
 }
--- a/src/decision/internal/entitlement.h
+++ b/src/decision/internal/entitlement.h
@@ -16,6 +16,6 @@
 //! than its demand, and what it leaves is divided among the others by weight.
 //! The result is in the order of aClaimants.
 std::vector<double>
-DivideFairly(const std::vector<Claimant>& aClaimants, double aCapacity);
+MaxMinFairShares(const std::vector<Claimant>& aClaimants, double aCapacity);
 
 }
--- a/src/decision/internal/fleetview.cpp
+++ b/src/decision/internal/fleetview.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double kSmallDemand = 4.0;
-constexpr double kUrgentDemand = 10.0;
-constexpr double kUrgentChange = 0.5;
+constexpr double kMinDemandForChange = 4.0;
+constexpr double kMinUrgentChange = 10.0;
+constexpr double kMinUrgentChangeRatio = 0.5;
 
 struct Candidate
 {
@@ -41,38 +41,39 @@
 }
 
 void
-FleetView::SetPlace(const TreePlace& aPlace)
+FleetView::SetPosition(const TreePosition& aPosition)
 {
-  if (aPlace == m_place) {
+  if (aPosition == m_position) {
     return;
   }
   const auto isNeighbour = [&](RouterId aRouter) {
-    return aPlace.parent == aRouter ||
-           std::find(aPlace.children.begin(), aPlace.children.end(), aRouter) !=
-             aPlace.children.end();
+    return aPosition.parent == aRouter ||
+           std::find(aPosition.children.begin(),
+                     aPosition.children.end(),
+                     aRouter) != aPosition.children.end();
   };
   std::erase_if(m_children, [&](const auto& aOne) {
-    return std::find(aPlace.children.begin(),
-                     aPlace.children.end(),
-                     aOne.first) == aPlace.children.end();
+    return std::find(aPosition.children.begin(),
+                     aPosition.children.end(),
+                     aOne.first) == aPosition.children.end();
   });
-  std::erase_if(m_told,
+  std::erase_if(m_sent,
                 [&](const auto& aOne) { return !isNeighbour(aOne.first); });
-  if (aPlace.parent != m_place.parent) {
-    m_ownTold.clear();
-    if (aPlace.parent) {
-      m_told.erase(*aPlace.parent);
+  if (aPosition.parent != m_position.parent) {
+    m_ownSent.clear();
+    if (aPosition.parent) {
+      m_sent.erase(*aPosition.parent);
     }
   }
-  m_place = aPlace;
+  m_position = aPosition;
 }
 
 void
-FleetView::TakeUp(RouterId aChild,
-                  const std::vector<DemandEntry>& aEntries,
-                  TimePoint aNow)
+FleetView::HandleChildDemand(RouterId aChild,
+                             const std::vector<DemandEntry>& aEntries,
+                             TimePoint aNow)
 {
-  const auto& children = m_place.children;
+  const auto& children = m_position.children;
   if (std::find(children.begin(), children.end(), aChild) == children.end()) {
     return;
   }
@@ -83,18 +84,18 @@
 }
 
 void
-FleetView::TakeDown(const std::vector<TotalEntry>& aEntries, TimePoint aNow)
+FleetView::HandleTotals(const std::vector<TotalEntry>& aEntries, TimePoint aNow)
 {
   for (const auto& entry : aEntries) {
     m_totals[entry.workspace] = { entry.demand, 0, entry.behindMs, aNow };
-    m_behind[entry.workspace] = entry.behindMs;
+    m_lagMs[entry.workspace] = entry.behindMs;
   }
 }
 
 void
-FleetView::SetBehind(WorkspaceId aWorkspace, std::int32_t aMillis)
+FleetView::SetLag(WorkspaceId aWorkspace, std::int32_t aLagMs)
 {
-  m_behind[aWorkspace] = aMillis;
+  m_lagMs[aWorkspace] = aLagMs;
 }
 
 Demand
@@ -106,7 +107,7 @@
     if (found != aTable.end()) {
       sum.demand += found->second.demand;
       sum.served += found->second.served;
-      sum.at = std::max(sum.at, found->second.at);
+      sum.updatedAt = std::max(sum.updatedAt, found->second.updatedAt);
     }
   };
   add(m_own);
@@ -119,20 +120,20 @@
 Demand
 FleetView::Total(WorkspaceId aWorkspace) const
 {
-  const auto behind = m_behind.find(aWorkspace);
+  const auto lag = m_lagMs.find(aWorkspace);
   if (IsRoot()) {
     Demand sum = Subtree(aWorkspace);
-    sum.behindMs = behind == m_behind.end() ? 0 : behind->second;
+    sum.behindMs = lag == m_lagMs.end() ? 0 : lag->second;
     return sum;
   }
   const auto own = m_own.find(aWorkspace);
-  const auto told = m_ownTold.find(aWorkspace);
+  const auto sent = m_ownSent.find(aWorkspace);
   const auto total = m_totals.find(aWorkspace);
   Demand sum = total == m_totals.end() ? Demand{} : total->second;
   if (own != m_own.end()) {
-    const std::int64_t toldDemand =
-      told == m_ownTold.end() ? 0 : told->second.demand;
-    sum.demand = AddSigned(sum.demand, own->second.demand - toldDemand);
+    const std::int64_t sentDemand =
+      sent == m_ownSent.end() ? 0 : sent->second.demand;
+    sum.demand = AddSigned(sum.demand, own->second.demand - sentDemand);
     sum.demand = std::max(sum.demand, own->second.demand);
   }
   return sum;
@@ -157,20 +158,21 @@
 }
 
 bool
-FleetView::HasUrgentFor(RouterId aNeighbour) const
+FleetView::HasUrgentChangeFor(RouterId aNeighbour) const
 {
-  const bool up = m_place.parent == aNeighbour;
-  const auto table = m_told.find(aNeighbour);
+  const bool toParent = m_position.parent == aNeighbour;
+  const auto table = m_sent.find(aNeighbour);
   for (const auto id : Known()) {
-    const Demand now = up ? Subtree(id) : Total(id);
+    const Demand now = toParent ? Subtree(id) : Total(id);
     Demand last;
-    if (table != m_told.end()) {
-      const auto told = table->second.find(id);
-      last = told == table->second.end() ? Demand{} : told->second;
+    if (table != m_sent.end()) {
+      const auto sent = table->second.find(id);
+      last = sent == table->second.end() ? Demand{} : sent->second;
     }
     const double change =
       std::abs(static_cast<double>(now.demand) - last.demand);
-    if (change >= std::max(kUrgentDemand, kUrgentChange * last.demand)) {
+    if (change >=
+        std::max(kMinUrgentChange, kMinUrgentChangeRatio * last.demand)) {
       return true;
     }
   }
@@ -179,31 +181,31 @@
 
 std::vector<WorkspaceId>
 FleetView::Pick(RouterId aNeighbour,
-                bool aUp,
+                bool aToParent,
                 TimePoint aNow,
                 Duration aRefresh,
-                std::size_t aMost)
+                std::size_t aMaxEntries)
 {
-  Table& told = m_told[aNeighbour];
+  Table& sent = m_sent[aNeighbour];
   std::vector<Candidate> candidates;
   for (const auto id : Known()) {
-    const Demand now = aUp ? Subtree(id) : Total(id);
-    const auto before = told.find(id);
-    const bool isNew = before == told.end();
+    const Demand now = aToParent ? Subtree(id) : Total(id);
+    const auto before = sent.find(id);
+    const bool isNew = before == sent.end();
     if (isNew && now.demand == 0 && now.served == 0) {
       continue;
     }
     const Demand last = isNew ? Demand{} : before->second;
     const double change =
       std::abs(static_cast<double>(now.demand) - last.demand) /
-      std::max<double>(last.demand, kSmallDemand);
-    const Duration age = isNew ? aRefresh : aNow - last.at;
-    const bool moved =
+      std::max<double>(last.demand, kMinDemandForChange);
+    const Duration age = isNew ? aRefresh : aNow - last.updatedAt;
+    const bool hasChanged =
       now.demand != last.demand ||
-      (aUp ? now.served != last.served : now.behindMs != last.behindMs);
-    const bool due = moved && age >= aRefresh;
-    const bool emptied = now.demand == 0 && last.demand != 0;
-    if (isNew || due || emptied || change > kDemandDeadBand) {
+      (aToParent ? now.served != last.served : now.behindMs != last.behindMs);
+    const bool due = hasChanged && age >= aRefresh;
+    const bool becameZero = now.demand == 0 && last.demand != 0;
+    if (isNew || due || becameZero || change > kDemandDeadBand) {
       candidates.push_back({ id, now, change, age });
     }
   }
@@ -214,45 +216,45 @@
       return std::tuple(aLeft.age + aLeft.change * 2000ms, aLeft.workspace) >
              std::tuple(aRight.age + aRight.change * 2000ms, aRight.workspace);
     });
-  candidates.resize(std::min(candidates.size(), aMost));
+  candidates.resize(std::min(candidates.size(), aMaxEntries));
   std::vector<WorkspaceId> picked;
   for (const auto& candidate : candidates) {
     picked.push_back(candidate.workspace);
-    auto& entry = told[candidate.workspace];
+    auto& entry = sent[candidate.workspace];
     entry = candidate.now;
-    entry.at = aNow;
+    entry.updatedAt = aNow;
   }
   return picked;
 }
 
 std::vector<DemandEntry>
-FleetView::PickUp(RouterId aParent,
-                  TimePoint aNow,
-                  Duration aRefresh,
-                  std::size_t aMost)
+FleetView::PickForParent(RouterId aParent,
+                         TimePoint aNow,
+                         Duration aRefresh,
+                         std::size_t aMaxEntries)
 {
   std::vector<DemandEntry> entries;
-  for (const auto id : Pick(aParent, true, aNow, aRefresh, aMost)) {
-    const auto& told = m_told[aParent][id];
-    entries.push_back({ id, told.demand, told.served });
+  for (const auto id : Pick(aParent, true, aNow, aRefresh, aMaxEntries)) {
+    const auto& sent = m_sent[aParent][id];
+    entries.push_back({ id, sent.demand, sent.served });
     const auto own = m_own.find(id);
     if (own != m_own.end()) {
-      m_ownTold[id] = own->second;
+      m_ownSent[id] = own->second;
     }
   }
   return entries;
 }
 
 std::vector<TotalEntry>
-FleetView::PickDown(RouterId aChild,
-                    TimePoint aNow,
-                    Duration aRefresh,
-                    std::size_t aMost)
+FleetView::PickForChild(RouterId aChild,
+                        TimePoint aNow,
+                        Duration aRefresh,
+                        std::size_t aMaxEntries)
 {
   std::vector<TotalEntry> entries;
-  for (const auto id : Pick(aChild, false, aNow, aRefresh, aMost)) {
-    const auto& told = m_told[aChild][id];
-    entries.push_back({ id, told.demand, told.behindMs });
+  for (const auto id : Pick(aChild, false, aNow, aRefresh, aMaxEntries)) {
+    const auto& sent = m_sent[aChild][id];
+    entries.push_back({ id, sent.demand, sent.behindMs });
   }
   return entries;
 }
--- a/src/decision/internal/lagtracker.cpp
+++ b/src/decision/internal/lagtracker.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-//! The service of several seconds may arrive in one update after a hop of the
-//! tree was delayed.
-constexpr double kStaleSeconds = 4.0;
+//! An update may contain the service of this many seconds more than the time
+//! since the last one, because a hop of the tree was delayed.
+constexpr double kMaxUpdateDelaySeconds = 4.0;
 
 }
 
@@ -29,21 +29,23 @@
   }
   if (!record.backlogged) {
     record.backlogged = true;
-    record.since = aNow;
-    record.entitledAt = aNow;
+    record.backloggedSince = aNow;
+    record.entitledUntil = aNow;
   }
-  const auto elapsed = static_cast<double>((aNow - record.entitledAt).count());
+  const auto elapsed =
+    static_cast<double>((aNow - record.entitledUntil).count());
   record.entitledSlotMs += elapsed * aEntitled;
-  record.entitledAt = aNow;
-  if (aTotal.at < record.since || aTotal.at <= record.at) {
+  record.entitledUntil = aNow;
+  if (aTotal.updatedAt < record.backloggedSince ||
+      aTotal.updatedAt <= record.updatedAt) {
     return;
   }
-  if (record.counting) {
-    CountStep(record, aTotal, aCapacity);
+  if (record.hasTotal) {
+    AddStep(record, aTotal, aCapacity);
   }
-  record.counting = true;
+  record.hasTotal = true;
   record.served = aTotal.served;
-  record.at = aTotal.at;
+  record.updatedAt = aTotal.updatedAt;
   record.entitledSlotMs = 0;
 }
 
@@ -51,54 +53,55 @@
 //! with its part of the sum. Both appear as an impossible step, which is
 //! ignored.
 void
-LagTracker::CountStep(Record& aRecord, const Demand& aTotal, double aCapacity)
+LagTracker::AddStep(Record& aRecord, const Demand& aTotal, double aCapacity)
 {
   const auto step = static_cast<std::int32_t>(aTotal.served - aRecord.served);
   const double slotSeconds = step * (kServedUnitMs / 1000.0);
-  const auto millis = static_cast<double>((aTotal.at - aRecord.at).count());
+  const auto millis =
+    static_cast<double>((aTotal.updatedAt - aRecord.updatedAt).count());
   const double seconds = millis / 1000.0;
   const bool possible =
-    step >= 0 && slotSeconds <= aCapacity * (seconds + kStaleSeconds);
+    step >= 0 && slotSeconds <= aCapacity * (seconds + kMaxUpdateDelaySeconds);
   if (!possible || aRecord.entitledSlotMs <= 0) {
     return;
   }
   const double entitled = aRecord.entitledSlotMs / millis;
-  aRecord.secondsBehind =
-    std::clamp(aRecord.secondsBehind + seconds - slotSeconds / entitled,
+  aRecord.lagSeconds =
+    std::clamp(aRecord.lagSeconds + seconds - slotSeconds / entitled,
                -kMaxLagSeconds,
                kMaxLagSeconds);
 }
 
 void
-LagTracker::Adopt(WorkspaceId aWorkspace, double aSecondsBehind)
+LagTracker::Adopt(WorkspaceId aWorkspace, double aLagSeconds)
 {
   Record& record = m_records[aWorkspace];
   record = {};
-  record.secondsBehind = aSecondsBehind;
+  record.lagSeconds = aLagSeconds;
 }
 
 void
-LagTracker::Centre(const std::map<WorkspaceId, double>& aEntitled)
+LagTracker::SubtractMean(const std::map<WorkspaceId, double>& aEntitled)
 {
   double sum = 0;
   double weights = 0;
   for (const auto& [workspace, entitled] : aEntitled) {
-    sum += entitled * m_records[workspace].secondsBehind;
+    sum += entitled * m_records[workspace].lagSeconds;
     weights += entitled;
   }
   if (weights <= 0) {
     return;
   }
   for (const auto& [workspace, entitled] : aEntitled) {
-    m_records[workspace].secondsBehind -= sum / weights;
+    m_records[workspace].lagSeconds -= sum / weights;
   }
 }
 
 double
-LagTracker::SecondsBehind(WorkspaceId aWorkspace) const
+LagTracker::LagSeconds(WorkspaceId aWorkspace) const
 {
   const auto found = m_records.find(aWorkspace);
-  return found == m_records.end() ? 0 : found->second.secondsBehind;
+  return found == m_records.end() ? 0 : found->second.lagSeconds;
 }
 
 }
--- a/src/decision/internal/lagtracker.h
+++ b/src/decision/internal/lagtracker.h
@@ -23,28 +23,26 @@
                TimePoint aNow);
   //! Sets the lag that the root has computed; if this router becomes the root,
   //! it continues from this value.
-  void Adopt(WorkspaceId aWorkspace, double aSecondsBehind);
+  void Adopt(WorkspaceId aWorkspace, double aLagSeconds);
   //! Subtracts the mean lag, weighted by entitlement, from all workspaces: only
   //! the differences between workspaces matter.
-  void Centre(const std::map<WorkspaceId, double>& aEntitled);
+  void SubtractMean(const std::map<WorkspaceId, double>& aEntitled);
   //! Returns the lag in seconds of service at its share; positive is behind.
-  double SecondsBehind(WorkspaceId aWorkspace) const;
+  double LagSeconds(WorkspaceId aWorkspace) const;
 
 private:
   struct Record
   {
     bool backlogged = false;
-    bool counting = false; //!< a total arrived since it became backlogged
-    TimePoint since{};     //!< start of the backlog
+    bool hasTotal = false;       //!< a total arrived since it became backlogged
+    TimePoint backloggedSince{}; //!< start of the backlog
     std::uint32_t served = 0;
-    TimePoint at{};            //!< time of the last total
-    TimePoint entitledAt{};    //!< end of the time in entitledSlotMs
+    TimePoint updatedAt{};     //!< time of the last total
+    TimePoint entitledUntil{}; //!< end of the time in entitledSlotMs
     double entitledSlotMs = 0; //!< entitlement times time since the last total
-    double secondsBehind = 0;
+    double lagSeconds = 0;
   };
-  static void CountStep(Record& aRecord,
-                        const Demand& aTotal,
-                        double aCapacity);
+  static void AddStep(Record& aRecord, const Demand& aTotal, double aCapacity);
 
   std::map<WorkspaceId, Record> m_records;
 };
--- a/src/decision/internal/membership.cpp
+++ b/src/decision/internal/membership.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 //! A broken connection counts as this many missed heartbeats.
-constexpr int kRoundsOfLostLink = 2;
+constexpr int kHeartbeatsPerLostLink = 2;
 
 }
 
@@ -25,18 +25,18 @@
 }
 
 bool
-Membership::Take(const MemberNotice& aNotice,
-                 const std::string& aZone,
-                 TimePoint aNow)
+Membership::ApplyNotice(const MemberNotice& aNotice,
+                        const std::string& aZone,
+                        TimePoint aNow)
 {
   if (aNotice.router == m_self) {
-    const bool wrong =
+    const bool contradicted =
       aNotice.state != m_ownState && aNotice.incarnation >= m_incarnation;
-    const bool overruled = wrong || aNotice.incarnation > m_incarnation;
-    if (overruled) {
+    const bool overridden = contradicted || aNotice.incarnation > m_incarnation;
+    if (overridden) {
       m_incarnation = aNotice.incarnation + 1;
     }
-    return overruled;
+    return overridden;
   }
   const auto [at, isNew] = m_others.try_emplace(aNotice.router);
   Member& member = at->second;
@@ -55,7 +55,7 @@
   const bool changed = isNew || member.state != aNotice.state;
   member.incarnation = aNotice.incarnation;
   member.state = aNotice.state;
-  member.lastHeard = aNow;
+  member.lastFrameAt = aNow;
   if (changed) {
     Rebuild();
     WatchNeighbours(aNow);
@@ -64,10 +64,10 @@
 }
 
 bool
-Membership::Heard(RouterId aRouter,
-                  std::uint32_t aIncarnation,
-                  std::uint32_t aSequence,
-                  TimePoint aNow)
+Membership::RecordFrame(RouterId aRouter,
+                        std::uint32_t aIncarnation,
+                        std::uint32_t aSequence,
+                        TimePoint aNow)
 {
   const auto found = m_others.find(aRouter);
   if (found == m_others.end()) {
@@ -78,42 +78,42 @@
     return false;
   }
   member.lastSequence = aSequence;
-  member.lastHeard = aNow;
+  member.lastFrameAt = aNow;
   return true;
 }
 
 void
-Membership::LinkLost(RouterId aRouter, Duration aRound)
+Membership::LinkLost(RouterId aRouter, Duration aHeartbeatInterval)
 {
   const auto found = m_others.find(aRouter);
   if (found != m_others.end()) {
-    found->second.lastHeard -= aRound * kRoundsOfLostLink;
+    found->second.lastFrameAt -= aHeartbeatInterval * kHeartbeatsPerLostLink;
   }
   const auto watched = m_watchedSince.find(aRouter);
   if (watched != m_watchedSince.end()) {
-    watched->second -= aRound * kRoundsOfLostLink;
+    watched->second -= aHeartbeatInterval * kHeartbeatsPerLostLink;
   }
 }
 
 std::vector<MemberNotice>
-Membership::CallDead(TimePoint aNow, Duration aLimit)
+Membership::DeclareDead(TimePoint aNow, Duration aTimeout)
 {
   std::vector<MemberNotice> dead;
   for (const auto& [router, since] : m_watchedSince) {
     Member& member = m_others[router];
-    const bool silent = aNow - std::max(since, member.lastHeard) > aLimit;
+    const bool silent = aNow - std::max(since, member.lastFrameAt) > aTimeout;
     if (member.state == MemberState::Alive && silent) {
       dead.push_back({ router, member.incarnation, MemberState::Dead });
     }
   }
   for (const auto& notice : dead) {
-    Take(notice, "", aNow);
+    ApplyNotice(notice, "", aNow);
   }
   return dead;
 }
 
 void
-Membership::ForgiveSilence(TimePoint aNow)
+Membership::ResetSilence(TimePoint aNow)
 {
   for (auto& [router, since] : m_watchedSince) {
     since = aNow;
@@ -127,7 +127,7 @@
 }
 
 MemberNotice
-Membership::Own() const
+Membership::OwnNotice() const
 {
   return { m_self, m_incarnation, m_ownState };
 }
@@ -143,7 +143,7 @@
 std::vector<MemberNotice>
 Membership::Notices() const
 {
-  std::vector<MemberNotice> notices{ Own() };
+  std::vector<MemberNotice> notices{ OwnNotice() };
   for (const auto& [router, member] : m_others) {
     notices.push_back({ router, member.incarnation, member.state });
   }
@@ -169,7 +169,7 @@
     std::count_if(m_others.begin(), m_others.end(), [](const auto& aOne) {
       return aOne.second.state == MemberState::Dead;
     });
-  return m_order.size() + static_cast<std::size_t>(dead);
+  return m_aliveRouters.size() + static_cast<std::size_t>(dead);
 }
 
 RouterId
@@ -178,7 +178,7 @@
   RouterId best = m_self;
   bool bestLocal = false;
   std::uint64_t bestScore = 0;
-  for (const auto& [zone, router] : m_order) {
+  for (const auto& [zone, router] : m_aliveRouters) {
     const bool local = zone == aZone;
     const auto score = base::HashPair(base::Raw(aUpstream), base::Raw(router));
     if (std::pair(local, score) >= std::pair(bestLocal, bestScore)) {
@@ -194,7 +194,7 @@
 Membership::WatchesPlatform() const
 {
   std::size_t before = 0;
-  for (const auto& [zone, router] : m_order) {
+  for (const auto& [zone, router] : m_aliveRouters) {
     if (router == m_self) {
       return before < kWatchersPerZone;
     }
@@ -210,25 +210,25 @@
 Membership::Rebuild()
 {
   m_version++;
-  m_order.clear();
-  m_order.emplace_back(m_zone, m_self);
+  m_aliveRouters.clear();
+  m_aliveRouters.emplace_back(m_zone, m_self);
   for (const auto& [router, member] : m_others) {
     if (member.state == MemberState::Alive) {
-      m_order.emplace_back(member.zone, router);
+      m_aliveRouters.emplace_back(member.zone, router);
     }
   }
-  std::sort(m_order.begin(), m_order.end());
-  const auto at =
-    std::find(m_order.begin(), m_order.end(), std::pair(m_zone, m_self));
-  const auto index = static_cast<std::size_t>(at - m_order.begin());
-  m_place = {};
+  std::sort(m_aliveRouters.begin(), m_aliveRouters.end());
+  const auto at = std::find(
+    m_aliveRouters.begin(), m_aliveRouters.end(), std::pair(m_zone, m_self));
+  const auto index = static_cast<std::size_t>(at - m_aliveRouters.begin());
+  m_position = {};
   if (index > 0) {
-    m_place.parent = m_order[(index - 1) / kTreeDegree].second;
+    m_position.parent = m_aliveRouters[(index - 1) / kTreeDegree].second;
   }
   for (std::size_t i = 1; i <= kTreeDegree; ++i) {
     const auto child = index * kTreeDegree + i;
-    if (child < m_order.size()) {
-      m_place.children.push_back(m_order[child].second);
+    if (child < m_aliveRouters.size()) {
+      m_position.children.push_back(m_aliveRouters[child].second);
     }
   }
 }
@@ -241,10 +241,10 @@
     const auto known = m_watchedSince.find(aRouter);
     watched[aRouter] = known == m_watchedSince.end() ? aNow : known->second;
   };
-  if (m_place.parent) {
-    watch(*m_place.parent);
+  if (m_position.parent) {
+    watch(*m_position.parent);
   }
-  for (const auto child : m_place.children) {
+  for (const auto child : m_position.children) {
     watch(child);
   }
   m_watchedSince = std::move(watched);
--- a/src/decision/internal/membership.h
+++ b/src/decision/internal/membership.h
@@ -14,18 +14,18 @@
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::Dead;
   std::string zone;
-  TimePoint lastHeard{}; //!< time of its last frame or change
+  TimePoint lastFrameAt{}; //!< time of its last frame or change
   std::uint32_t lastSequence = 0;
 };
 
 //! The neighbours of this router in the tree that routers with the same view of
 //! the membership form.
-struct TreePlace
+struct TreePosition
 {
   std::optional<RouterId> parent;
   std::vector<RouterId> children;
 
-  bool operator==(const TreePlace&) const = default;
+  bool operator==(const TreePosition&) const = default;
 };
 
 //! Tracks which routers are alive. A notice of a higher incarnation overrides a
@@ -39,34 +39,34 @@
 
   //! Applies a notice; returns true if it changed the state. A notice about
   //! this router itself may raise its incarnation.
-  bool Take(const MemberNotice& aNotice,
-            const std::string& aZone,
-            TimePoint aNow);
+  bool ApplyNotice(const MemberNotice& aNotice,
+                   const std::string& aZone,
+                   TimePoint aNow);
   //! Records that a frame was received; returns false if it is outdated or a
   //! duplicate.
-  bool Heard(RouterId aRouter,
-             std::uint32_t aIncarnation,
-             std::uint32_t aSequence,
-             TimePoint aNow);
+  bool RecordFrame(RouterId aRouter,
+                   std::uint32_t aIncarnation,
+                   std::uint32_t aSequence,
+                   TimePoint aNow);
   //! Counts a broken connection as missed heartbeats.
-  void LinkLost(RouterId aRouter, Duration aRound);
-  //! Declares neighbours dead that were silent for longer than aLimit, and
+  void LinkLost(RouterId aRouter, Duration aHeartbeatInterval);
+  //! Declares neighbours dead that were silent for longer than aTimeout, and
   //! returns the notices.
-  std::vector<MemberNotice> CallDead(TimePoint aNow, Duration aLimit);
+  std::vector<MemberNotice> DeclareDead(TimePoint aNow, Duration aTimeout);
   //! Restarts the silence timers of the neighbours; called after a pause of
   //! this process.
-  void ForgiveSilence(TimePoint aNow);
+  void ResetSilence(TimePoint aNow);
   void Leave();
 
-  MemberNotice Own() const;
+  MemberNotice OwnNotice() const;
   bool IsAlive(RouterId aRouter) const;
   const std::map<RouterId, Member>& Others() const { return m_others; }
   std::vector<MemberNotice> Notices() const;
-  std::size_t AliveCount() const { return m_order.size(); }
+  std::size_t AliveCount() const { return m_aliveRouters.size(); }
   //! Number of members alive or dead, with this router; those that left are not
   //! counted.
   std::size_t KnownCount() const;
-  const TreePlace& Place() const { return m_place; }
+  const TreePosition& Position() const { return m_position; }
   //! Returns the alive router that lends the slots of an upstream, by
   //! rendezvous hashing; routers in the zone of the upstream come first.
   RouterId OwnerOf(UpstreamId aUpstream, const std::string& aZone) const;
@@ -87,8 +87,8 @@
   std::uint32_t m_incarnation;
   MemberState m_ownState = MemberState::Alive;
   std::map<RouterId, Member> m_others;
-  std::vector<std::pair<std::string, RouterId>> m_order;
-  TreePlace m_place;
+  std::vector<std::pair<std::string, RouterId>> m_aliveRouters;
+  TreePosition m_position;
   std::map<RouterId, TimePoint> m_watchedSince;
   std::uint64_t m_version = 0;
 };
--- a/src/decision/internal/outbox.cpp
+++ b/src/decision/internal/outbox.cpp
@@ -25,15 +25,15 @@
 
 template<typename Vector>
 std::size_t
-VectorBytes(const Vector& aVector, std::size_t aEach)
+VectorBytes(const Vector& aVector, std::size_t aElementBytes)
 {
-  return aVector.empty() ? 0 : kVectorBytes + aVector.size() * aEach;
+  return aVector.empty() ? 0 : kVectorBytes + aVector.size() * aElementBytes;
 }
 
 //! Whether a frame is sent regardless of the budget: changes of members, hosts
 //! and documents and crash reports must reach all routers in time.
 bool
-MustNotWait(const Frame& aFrame)
+IsUrgent(const Frame& aFrame)
 {
   return !aFrame.members.empty() || !aFrame.hosts.empty() ||
          !aFrame.documents.empty() || !aFrame.versions.empty() ||
@@ -77,9 +77,9 @@
 }
 
 Frame&
-Outbox::For(RouterId aRouter)
+Outbox::FrameFor(RouterId aRouter)
 {
-  auto& pending = m_waiting[aRouter];
+  auto& pending = m_pending[aRouter];
   if (pending.order == 0) {
     pending.order = m_nextOrder++;
   }
@@ -89,17 +89,17 @@
 void
 Outbox::Drop(RouterId aRouter)
 {
-  m_waiting.erase(aRouter);
-  m_heartbeats.erase(aRouter);
-  m_deferred.erase(aRouter);
+  m_pending.erase(aRouter);
+  m_heartbeatRouters.erase(aRouter);
+  m_deferredRouters.erase(aRouter);
 }
 
 std::vector<RouterId>
-Outbox::Waiting() const
+Outbox::PendingRouters() const
 {
   std::vector<std::pair<std::uint64_t, RouterId>> ordered;
-  ordered.reserve(m_waiting.size());
-  for (const auto& [router, pending] : m_waiting) {
+  ordered.reserve(m_pending.size());
+  for (const auto& [router, pending] : m_pending) {
     ordered.emplace_back(pending.order, router);
   }
   std::sort(ordered.begin(), ordered.end());
@@ -112,21 +112,22 @@
 }
 
 bool
-Outbox::Take(RouterId aRouter,
-             std::uint32_t aIncarnation,
-             std::uint32_t aDigest,
-             std::uint32_t aMembersDigest,
-             Frame& aFrame)
+Outbox::TakeFrame(RouterId aRouter,
+                  std::uint32_t aIncarnation,
+                  std::uint32_t aDigest,
+                  std::uint32_t aMembersDigest,
+                  Frame& aFrame)
 {
-  const auto found = m_waiting.find(aRouter);
-  if (found == m_waiting.end()) {
+  const auto found = m_pending.find(aRouter);
+  if (found == m_pending.end()) {
     return false;
   }
   const auto bytes = EstimateFrameBytes(found->second.frame);
-  const bool must =
-    m_heartbeats.contains(aRouter) || MustNotWait(found->second.frame);
-  if (!must && !m_budget.Allows(bytes)) {
-    m_counters.framesDeferred += m_deferred.insert(aRouter).second ? 1 : 0;
+  const bool urgent =
+    m_heartbeatRouters.contains(aRouter) || IsUrgent(found->second.frame);
+  if (!urgent && !m_budget.Allows(bytes)) {
+    m_counters.framesDeferred +=
+      m_deferredRouters.insert(aRouter).second ? 1 : 0;
     return false;
   }
   aFrame = std::move(found->second.frame);
@@ -138,12 +139,12 @@
   aFrame.boot = m_boot;
   aFrame.sequence = ++m_sequence;
   m_budget.Charge(bytes);
-  Count(aFrame);
+  CountSent(aFrame);
   return true;
 }
 
 Frame
-Outbox::ToSeed(std::uint32_t aIncarnation)
+Outbox::MakeSeedFrame(std::uint32_t aIncarnation)
 {
   Frame frame;
   frame.sender = m_self;
@@ -151,12 +152,12 @@
   frame.boot = m_boot;
   frame.sequence = ++m_sequence;
   frame.wantsSnapshot = true;
-  Count(frame);
+  CountSent(frame);
   return frame;
 }
 
 void
-Outbox::Count(const Frame& aFrame)
+Outbox::CountSent(const Frame& aFrame)
 {
   m_counters.framesSent++;
   m_counters.bytesSent += EstimateFrameBytes(aFrame);
--- a/src/decision/internal/outbox.h
+++ b/src/decision/internal/outbox.h
@@ -20,30 +20,30 @@
   void Advance(TimePoint aNow) { m_budget.Advance(aNow); }
   //! Returns the pending frame of a peer, to be filled in; creates it if there
   //! is none.
-  Frame& For(RouterId aRouter);
+  Frame& FrameFor(RouterId aRouter);
   void Drop(RouterId aRouter);
   //! Peers with a pending frame, the longest waiting first.
-  std::vector<RouterId> Waiting() const;
+  std::vector<RouterId> PendingRouters() const;
   //! Exempts the pending frame of a peer from the budget: without heartbeats
   //! the peer would declare this router dead.
-  void MarkHeartbeat(RouterId aRouter) { m_heartbeats.insert(aRouter); }
+  void MarkHeartbeat(RouterId aRouter) { m_heartbeatRouters.insert(aRouter); }
   bool HasRoom(double aBytes) const
   {
     return m_budget.Allows(static_cast<std::size_t>(aBytes));
   }
   //! Moves the pending frame of a peer to aFrame if it may be sent now, and
   //! completes its header; false otherwise.
-  bool Take(RouterId aRouter,
-            std::uint32_t aIncarnation,
-            std::uint32_t aDigest,
-            std::uint32_t aMembersDigest,
-            Frame& aFrame);
+  bool TakeFrame(RouterId aRouter,
+                 std::uint32_t aIncarnation,
+                 std::uint32_t aDigest,
+                 std::uint32_t aMembersDigest,
+                 Frame& aFrame);
   //! Makes a frame for a seed address whose router is not known yet. It asks
   //! for a snapshot.
-  Frame ToSeed(std::uint32_t aIncarnation);
+  Frame MakeSeedFrame(std::uint32_t aIncarnation);
 
 private:
-  void Count(const Frame& aFrame);
+  void CountSent(const Frame& aFrame);
 
   RouterId m_self;
   std::uint32_t m_boot;
@@ -54,10 +54,10 @@
     Frame frame;
     std::uint64_t order = 0; //!< of creation; the lowest is sent first
   };
-  std::map<RouterId, Pending> m_waiting;
+  std::map<RouterId, Pending> m_pending;
   std::uint64_t m_nextOrder = 1;
-  std::set<RouterId> m_heartbeats;
-  std::set<RouterId> m_deferred;
+  std::set<RouterId> m_heartbeatRouters;
+  std::set<RouterId> m_deferredRouters;
   std::uint32_t m_sequence = 0;
 };
 
--- a/src/decision/internal/peerflow.cpp
+++ b/src/decision/internal/peerflow.cpp
@@ -11,19 +11,19 @@
 
 //! For this long, a host list with state "live" does not override the
 //! announcement of an upstream that it is leaving.
-constexpr Duration kLeavingHold = 30000ms;
-constexpr Duration kLoadPollPeriod = 1000ms;
-//! Consecutive frames with a different digest after which the own state is
-//! sent.
-constexpr int kMissesToResync = 3;
+constexpr Duration kLeavingHoldTime = 30000ms;
+constexpr Duration kLoadPollInterval = 1000ms;
+//! Consecutive frames of a neighbour with a different digest after which this
+//! router sends its state to it.
+constexpr int kMismatchesToResync = 3;
 //! Size of a heartbeat without demand entries, and of one such entry.
 constexpr double kBareHeartbeatBytes = 230;
-constexpr double kEntryBytes = 12;
+constexpr double kDemandEntryBytes = 12;
 //! Minimum interval between heartbeats to a neighbour, for urgent ones.
-constexpr Duration kUrgentGap = 300ms;
+constexpr Duration kMinUrgentHeartbeatInterval = 300ms;
 //! Minimum interval between messages to one router that are large or cause a
 //! reply.
-constexpr Duration kRepeatGap = 1000ms;
+constexpr Duration kMinRepeatInterval = 1000ms;
 
 //! Revisions of the host list are multiplied by this and hence even. An entry
 //! that a router marked as leaving itself has the next higher, odd revision.
@@ -42,33 +42,33 @@
 std::vector<RouterId>
 PeerFlow::Neighbours() const
 {
-  const auto& place = m_state.membership.Place();
-  auto neighbours = place.children;
-  if (place.parent) {
-    neighbours.push_back(*place.parent);
+  const auto& position = m_state.membership.Position();
+  auto neighbours = position.children;
+  if (position.parent) {
+    neighbours.push_back(*position.parent);
   }
   return neighbours;
 }
 
 void
-PeerFlow::Take(const FrameReceived& aEvent)
+PeerFlow::Handle(const FrameReceived& aEvent)
 {
   const auto& frame = aEvent.frame;
   m_state.counters.bytesReceived += aEvent.bytes;
   if (frame.sender == m_state.self) {
     return;
   }
-  TakeNotices(frame);
+  HandleNotices(frame);
   for (const auto& host : frame.hosts) {
-    LearnHost(host, frame.sender);
+    MergeHost(host, frame.sender);
   }
   for (const auto& body : frame.documents) {
-    TakeBody(body, frame.sender);
+    HandleDocument(body, frame.sender);
   }
-  if (TellIfOverruled(frame)) {
+  if (NotifyIfOverridden(frame)) {
     return;
   }
-  const bool fresh = m_state.membership.Heard(
+  const bool fresh = m_state.membership.RecordFrame(
     frame.sender, frame.incarnation, frame.sequence, m_state.now);
   if (!fresh) {
     return;
@@ -76,15 +76,15 @@
   if (frame.wantsSnapshot) {
     SendSnapshot(frame.sender);
   }
-  m_heard = true;
-  TakeVersions(frame);
-  m_state.view.TakeUp(frame.sender, frame.up, m_state.now);
-  if (m_state.membership.Place().parent == frame.sender) {
-    m_state.view.TakeDown(frame.down, m_state.now);
+  m_heardSincePause = true;
+  HandleVersions(frame);
+  m_state.fleetView.HandleChildDemand(frame.sender, frame.up, m_state.now);
+  if (m_state.membership.Position().parent == frame.sender) {
+    m_state.fleetView.HandleTotals(frame.down, m_state.now);
   }
-  m_slots.TakeHints(frame.sender, frame.hints);
-  m_slots.TakeReports(frame.sender, frame.reports);
-  m_slots.TakeGrants(frame.sender, frame.boot, frame.grants);
+  m_slots.HandleHints(frame.sender, frame.hints);
+  m_slots.HandleReports(frame.sender, frame.reports);
+  m_slots.HandleGrants(frame.sender, frame.boot, frame.grants);
   CompareDigest(frame);
 }
 
@@ -93,7 +93,7 @@
 //! The sender then takes a higher incarnation. Returns whether the frame is
 //! overridden.
 bool
-PeerFlow::TellIfOverruled(const Frame& aFrame)
+PeerFlow::NotifyIfOverridden(const Frame& aFrame)
 {
   const auto& others = m_state.membership.Others();
   const auto known = others.find(aFrame.sender);
@@ -101,23 +101,23 @@
     return false;
   }
   const auto& member = known->second;
-  const bool calledDead = member.state != MemberState::Alive &&
-                          member.incarnation == aFrame.incarnation;
+  const bool declaredGone = member.state != MemberState::Alive &&
+                            member.incarnation == aFrame.incarnation;
   const bool outdated = member.incarnation > aFrame.incarnation;
-  if (!calledDead && !outdated) {
+  if (!declaredGone && !outdated) {
     return false;
   }
-  auto& told = m_toldOverruled[aFrame.sender];
-  if (m_state.now - told >= kRepeatGap) {
-    told = m_state.now;
-    m_state.outbox.For(aFrame.sender)
+  auto& sentAt = m_overriddenSentAt[aFrame.sender];
+  if (m_state.now - sentAt >= kMinRepeatInterval) {
+    sentAt = m_state.now;
+    m_state.outbox.FrameFor(aFrame.sender)
       .members.push_back({ aFrame.sender, member.incarnation, member.state });
   }
   return true;
 }
 
 void
-PeerFlow::TakeNotices(const Frame& aFrame)
+PeerFlow::HandleNotices(const Frame& aFrame)
 {
   auto notices = aFrame.members;
   const bool ownNotice =
@@ -146,33 +146,34 @@
     const bool returned =
       notice.router == aFrame.sender && notice.state == MemberState::Alive &&
       (known == others.end() || known->second.state != MemberState::Alive);
-    if (!m_state.membership.Take(notice, zone, m_state.now)) {
+    if (!m_state.membership.ApplyNotice(notice, zone, m_state.now)) {
       continue;
     }
     if (notice.router == m_state.self) {
-      Flood(m_state.membership.Own(), std::nullopt);
-      m_state.outbox.For(aFrame.sender)
-        .members.push_back(m_state.membership.Own());
+      Flood(m_state.membership.OwnNotice(), std::nullopt);
+      m_state.outbox.FrameFor(aFrame.sender)
+        .members.push_back(m_state.membership.OwnNotice());
       continue;
     }
     if (returned) {
-      m_state.outbox.For(aFrame.sender).members = m_state.membership.Notices();
+      m_state.outbox.FrameFor(aFrame.sender).members =
+        m_state.membership.Notices();
     }
     if (restarted || notice.state != MemberState::Alive) {
-      m_state.owner.ForgetRouter(notice.router);
+      m_state.slotOwner.ForgetRouter(notice.router);
     }
     Flood(notice, aFrame.sender);
-    NoteMember(notice);
+    RecordMember(notice);
   }
 }
 
 void
-PeerFlow::NoteMember(const MemberNotice& aNotice)
+PeerFlow::RecordMember(const MemberNotice& aNotice)
 {
-  m_state.Note(DecisionKind::MemberChanged,
-               "router=" + m_state.NameOf(aNotice.router) + " state=" +
-                 std::string(kMemberStateNames.NameOf(aNotice.state)) +
-                 " incarnation=" + std::to_string(aNotice.incarnation));
+  m_state.Record(DecisionKind::MemberChanged,
+                 "router=" + m_state.NameOf(aNotice.router) + " state=" +
+                   std::string(kMemberStateNames.NameOf(aNotice.state)) +
+                   " incarnation=" + std::to_string(aNotice.incarnation));
 }
 
 void
@@ -182,7 +183,7 @@
     if (neighbour == aFrom) {
       continue;
     }
-    auto& frame = m_state.outbox.For(neighbour);
+    auto& frame = m_state.outbox.FrameFor(neighbour);
     frame.members.push_back(aNotice);
     const auto* host = m_state.hosts.FindRouter(aNotice.router);
     if (host != nullptr && aNotice.state == MemberState::Alive) {
@@ -192,38 +193,38 @@
 }
 
 void
-PeerFlow::LearnHost(const HostEntry& aEntry, std::optional<RouterId> aFrom)
+PeerFlow::MergeHost(const HostEntry& aEntry, std::optional<RouterId> aFrom)
 {
   if (!m_state.hosts.Merge(aEntry)) {
     return;
   }
   m_state.poolsStale = true;
-  m_state.Note(DecisionKind::HostChanged,
-               "host=" + aEntry.name +
-                 " state=" + std::string(kHostStateNames.NameOf(aEntry.state)));
+  m_state.Record(DecisionKind::HostChanged,
+                 "host=" + aEntry.name + " state=" +
+                   std::string(kHostStateNames.NameOf(aEntry.state)));
   for (const auto neighbour : Neighbours()) {
     if (neighbour != aFrom) {
-      m_state.outbox.For(neighbour).hosts.push_back(aEntry);
+      m_state.outbox.FrameFor(neighbour).hosts.push_back(aEntry);
     }
   }
 }
 
 void
-PeerFlow::NoteLeaving(UpstreamId aUpstream)
+PeerFlow::MarkLeaving(UpstreamId aUpstream)
 {
   const auto* host = m_state.hosts.FindUpstream(aUpstream);
   if (host == nullptr || host->state != HostState::Live) {
     return;
   }
-  m_seenLeaving[aUpstream] = m_state.now;
+  m_leavingSeenAt[aUpstream] = m_state.now;
   auto leaving = *host;
   leaving.state = HostState::Leaving;
   leaving.revision |= 1;
-  LearnHost(leaving, std::nullopt);
+  MergeHost(leaving, std::nullopt);
 }
 
 void
-PeerFlow::Take(const HostsRead& aEvent)
+PeerFlow::Handle(const HostsRead& aEvent)
 {
   for (auto entry : aEvent.hosts) {
     entry.revision = aEvent.revision * kRevisionStep;
@@ -234,47 +235,48 @@
     if (known != nullptr && SameHost(*known, entry)) {
       continue;
     }
-    const auto seen = m_seenLeaving.find(UpstreamId(hash));
-    const bool held = !router && entry.state == HostState::Live &&
-                      seen != m_seenLeaving.end() &&
-                      m_state.now - seen->second < kLeavingHold;
-    if (!held) {
-      LearnHost(entry, std::nullopt);
+    const auto seen = m_leavingSeenAt.find(UpstreamId(hash));
+    const bool keepLeaving = !router && entry.state == HostState::Live &&
+                             seen != m_leavingSeenAt.end() &&
+                             m_state.now - seen->second < kLeavingHoldTime;
+    if (!keepLeaving) {
+      MergeHost(entry, std::nullopt);
     }
   }
 }
 
 void
-PeerFlow::Take(const DocumentRead& aEvent)
+PeerFlow::Handle(const DocumentRead& aEvent)
 {
-  TakeBody({ aEvent.name, aEvent.revision, aEvent.text }, std::nullopt);
+  HandleDocument({ aEvent.name, aEvent.revision, aEvent.text }, std::nullopt);
 }
 
 void
-PeerFlow::TakeBody(const DocumentBody& aBody, std::optional<RouterId> aFrom)
+PeerFlow::HandleDocument(const DocumentBody& aBody,
+                         std::optional<RouterId> aFrom)
 {
   const auto before = m_state.configuration.RevisionOf(aBody.name);
   const auto outcome = m_state.configuration.Offer(aBody);
-  m_state.Expect(m_state.configuration.RevisionOf(aBody.name) >= before,
-                 "a document was replaced by an older revision");
+  m_state.CheckInvariant(m_state.configuration.RevisionOf(aBody.name) >= before,
+                         "a document was replaced by an older revision");
   if (const auto* refused = std::get_if<DocumentRefused>(&outcome)) {
-    m_state.Act(*refused);
+    m_state.AddAction(*refused);
   }
   const auto* inForce = std::get_if<DocumentInForce>(&outcome);
   if (inForce == nullptr) {
     return;
   }
-  m_state.Act(*inForce);
+  m_state.AddAction(*inForce);
   m_state.poolsStale = true;
   for (const auto neighbour : Neighbours()) {
     if (neighbour != aFrom) {
-      m_state.outbox.For(neighbour).documents.push_back(aBody);
+      m_state.outbox.FrameFor(neighbour).documents.push_back(aBody);
     }
   }
 }
 
 void
-PeerFlow::TakeVersions(const Frame& aFrame)
+PeerFlow::HandleVersions(const Frame& aFrame)
 {
   if (aFrame.versions.empty() && !aFrame.wantsSnapshot) {
     return;
@@ -285,7 +287,7 @@
   }
   for (const auto& [name, body] : m_state.configuration.Bodies()) {
     if (body.revision > theirs[name]) {
-      m_state.outbox.For(aFrame.sender).documents.push_back(body);
+      m_state.outbox.FrameFor(aFrame.sender).documents.push_back(body);
     }
   }
   const bool behind =
@@ -293,10 +295,10 @@
       return aOne.second > m_state.configuration.RevisionOf(aOne.first);
     });
   if (behind) {
-    m_state.outbox.For(aFrame.sender).versions =
+    m_state.outbox.FrameFor(aFrame.sender).versions =
       m_state.configuration.Versions();
     if (m_state.configuration.Versions().empty()) {
-      m_state.outbox.For(aFrame.sender).wantsSnapshot = true;
+      m_state.outbox.FrameFor(aFrame.sender).wantsSnapshot = true;
     }
   }
 }
@@ -304,12 +306,12 @@
 void
 PeerFlow::SendSnapshot(RouterId aRouter)
 {
-  auto& sent = m_snapshotSent[aRouter];
-  if (m_state.now - sent < kRepeatGap) {
+  auto& sent = m_snapshotSentAt[aRouter];
+  if (m_state.now - sent < kMinRepeatInterval) {
     return;
   }
   sent = m_state.now;
-  auto& frame = m_state.outbox.For(aRouter);
+  auto& frame = m_state.outbox.FrameFor(aRouter);
   frame.members = m_state.membership.Notices();
   frame.hosts = m_state.hosts.All();
   frame.versions = m_state.configuration.Versions();
@@ -320,92 +322,99 @@
 PeerFlow::CompareDigest(const Frame& aFrame)
 {
   const auto neighbours = Neighbours();
-  const bool near =
+  const bool isNeighbour =
     std::find(neighbours.begin(), neighbours.end(), aFrame.sender) !=
     neighbours.end();
-  if (!near) {
-    m_digestMisses.erase(aFrame.sender);
+  if (!isNeighbour) {
+    m_digestMismatches.erase(aFrame.sender);
     return;
   }
-  auto& misses = m_digestMisses[aFrame.sender];
-  misses.state = aFrame.digest == m_state.Digest() ? 0 : misses.state + 1;
+  auto& mismatches = m_digestMismatches[aFrame.sender];
+  mismatches.state =
+    aFrame.digest == m_state.Digest() ? 0 : mismatches.state + 1;
   const auto members = m_state.membership.Digest();
-  misses.members = aFrame.membersDigest == members ? 0 : misses.members + 1;
-  if (misses.members >= kMissesToResync) {
-    misses.members = 0;
-    m_state.outbox.For(aFrame.sender).members = m_state.membership.Notices();
-  }
-  if (misses.state >= kMissesToResync) {
-    misses.state = 0;
+  mismatches.members =
+    aFrame.membersDigest == members ? 0 : mismatches.members + 1;
+  if (mismatches.members >= kMismatchesToResync) {
+    mismatches.members = 0;
+    m_state.outbox.FrameFor(aFrame.sender).members =
+      m_state.membership.Notices();
+  }
+  if (mismatches.state >= kMismatchesToResync) {
+    mismatches.state = 0;
     SendSnapshot(aFrame.sender);
   }
 }
 
 void
-PeerFlow::Take(const LinkLost& aEvent)
+PeerFlow::Handle(const LinkLost& aEvent)
 {
-  m_state.membership.LinkLost(aEvent.router, m_state.Round());
+  m_state.membership.LinkLost(aEvent.router, m_state.HeartbeatInterval());
 }
 
 void
 PeerFlow::Tick()
 {
-  const auto round = m_state.Round();
-  for (const auto& notice :
-       m_state.membership.CallDead(m_state.now, round * kMissedRounds)) {
-    m_state.owner.ForgetRouter(notice.router);
+  const auto heartbeatInterval = m_state.HeartbeatInterval();
+  for (const auto& notice : m_state.membership.DeclareDead(
+         m_state.now, heartbeatInterval * kMaxMissedHeartbeats)) {
+    m_state.slotOwner.ForgetRouter(notice.router);
     Flood(notice, std::nullopt);
-    NoteMember(notice);
+    RecordMember(notice);
   }
   for (const auto neighbour : Neighbours()) {
-    const auto silent = m_state.now - m_lastHeartbeat[neighbour];
-    const bool urgent = silent >= kUrgentGap &&
+    const auto sinceLast = m_state.now - m_heartbeatSentAt[neighbour];
+    const bool urgent = sinceLast >= kMinUrgentHeartbeatInterval &&
                         m_state.outbox.HasRoom(kBareHeartbeatBytes) &&
-                        m_state.view.HasUrgentFor(neighbour);
-    if (silent >= round || urgent) {
-      Heartbeat(neighbour);
+                        m_state.fleetView.HasUrgentChangeFor(neighbour);
+    if (sinceLast >= heartbeatInterval || urgent) {
+      SendHeartbeat(neighbour);
     }
   }
-  if (m_state.now - m_lastRenewal >= m_state.LeaseRound()) {
-    m_lastRenewal = m_state.now;
-    m_slots.Renew();
+  if (m_state.now - m_renewalSentAt >= m_state.RenewalInterval()) {
+    m_renewalSentAt = m_state.now;
+    m_slots.RenewLeases();
   }
   const bool alone = m_state.membership.AliveCount() == 1;
-  const auto probePeriod = alone ? kJoinProbePeriod : kRejoinProbePeriod;
-  if (m_state.now - m_lastProbe >= probePeriod) {
-    m_lastProbe = m_state.now;
-    ProbeSomeone();
+  const auto probeInterval = alone ? kJoinProbeInterval : kRejoinProbeInterval;
+  if (m_state.now - m_probeSentAt >= probeInterval) {
+    m_probeSentAt = m_state.now;
+    ProbeRouters();
   }
-  if (m_state.now - m_lastLoadPoll >= kLoadPollPeriod) {
-    m_lastLoadPoll = m_state.now;
+  if (m_state.now - m_loadPolledAt >= kLoadPollInterval) {
+    m_loadPolledAt = m_state.now;
     m_slots.PollLoads();
   }
   ReportWatching();
 }
 
 void
-PeerFlow::Heartbeat(RouterId aNeighbour)
+PeerFlow::SendHeartbeat(RouterId aNeighbour)
 {
-  auto& frame = m_state.outbox.For(aNeighbour);
+  auto& frame = m_state.outbox.FrameFor(aNeighbour);
   m_state.outbox.MarkHeartbeat(aNeighbour);
-  m_lastHeartbeat[aNeighbour] = m_state.now;
+  m_heartbeatSentAt[aNeighbour] = m_state.now;
   frame.hints = m_slots.HintsFor(aNeighbour);
-  const auto round = m_state.Round();
-  const double seconds = std::chrono::duration<double>(round).count();
+  const auto heartbeatInterval = m_state.HeartbeatInterval();
+  const double seconds =
+    std::chrono::duration<double>(heartbeatInterval).count();
   const auto links = static_cast<double>(Neighbours().size());
-  const double room = kSendBytesPerSecond * kHeartbeatPart * seconds / links;
-  const auto most = static_cast<std::size_t>(
-    std::max(1.0, (room - kBareHeartbeatBytes) / kEntryBytes));
-  const bool toParent = m_state.membership.Place().parent == aNeighbour;
+  const double budgetBytes =
+    kSendBytesPerSecond * kHeartbeatBudgetRatio * seconds / links;
+  const auto maxEntries = static_cast<std::size_t>(
+    std::max(1.0, (budgetBytes - kBareHeartbeatBytes) / kDemandEntryBytes));
+  const bool toParent = m_state.membership.Position().parent == aNeighbour;
   if (toParent) {
-    frame.up = m_state.view.PickUp(aNeighbour, m_state.now, 2 * round, most);
+    frame.up = m_state.fleetView.PickForParent(
+      aNeighbour, m_state.now, 2 * heartbeatInterval, maxEntries);
     return;
   }
-  frame.down = m_state.view.PickDown(aNeighbour, m_state.now, 2 * round, most);
+  frame.down = m_state.fleetView.PickForChild(
+    aNeighbour, m_state.now, 2 * heartbeatInterval, maxEntries);
 }
 
 void
-PeerFlow::ProbeSomeone()
+PeerFlow::ProbeRouters()
 {
   const bool alone = m_state.membership.AliveCount() == 1;
   std::vector<RouterId> candidates;
@@ -416,9 +425,9 @@
   }
   if (!candidates.empty()) {
     const auto router = candidates[m_state.random() % candidates.size()];
-    auto& frame = m_state.outbox.For(router);
+    auto& frame = m_state.outbox.FrameFor(router);
     frame.hosts = { m_state.settings.self };
-    frame.members = { m_state.membership.Own() };
+    frame.members = { m_state.membership.OwnNotice() };
     if (alone) {
       frame.wantsSnapshot = true;
       frame.versions = m_state.configuration.Versions();
@@ -429,9 +438,10 @@
     return;
   }
   for (const auto& seed : m_state.settings.seeds) {
-    auto frame = m_state.outbox.ToSeed(m_state.membership.Own().incarnation);
+    auto frame =
+      m_state.outbox.MakeSeedFrame(m_state.membership.OwnNotice().incarnation);
     frame.hosts = { m_state.settings.self };
-    m_state.Act(SendFrame{ RouterId{}, seed, std::move(frame) });
+    m_state.AddAction(SendFrame{ RouterId{}, seed, std::move(frame) });
   }
 }
 
@@ -439,45 +449,46 @@
 PeerFlow::ReportWatching()
 {
   const bool watches = m_state.membership.WatchesPlatform();
-  if (m_watching != watches) {
-    m_watching = watches;
-    m_state.Act(WatchPlatform{ watches });
+  if (m_reportedWatching != watches) {
+    m_reportedWatching = watches;
+    m_state.AddAction(WatchPlatform{ watches });
   }
 }
 
 void
-PeerFlow::Wake()
+PeerFlow::ResumeAfterPause()
 {
-  m_heard = false;
-  m_state.membership.ForgiveSilence(m_state.now);
-  m_watching.reset();
-  m_lastHeartbeat.clear();
-  m_lastProbe = m_state.now - kRejoinProbePeriod;
+  m_heardSincePause = false;
+  m_state.membership.ResetSilence(m_state.now);
+  m_reportedWatching.reset();
+  m_heartbeatSentAt.clear();
+  m_probeSentAt = m_state.now - kRejoinProbeInterval;
 }
 
 void
 PeerFlow::Leave()
 {
   m_state.membership.Leave();
-  Flood(m_state.membership.Own(), std::nullopt);
+  Flood(m_state.membership.OwnNotice(), std::nullopt);
 }
 
 void
 PeerFlow::Flush()
 {
-  for (const auto router : m_state.outbox.Waiting()) {
+  for (const auto router : m_state.outbox.PendingRouters()) {
     const auto* host = m_state.hosts.FindRouter(router);
     if (host == nullptr) {
       m_state.outbox.Drop(router);
       continue;
     }
     Frame frame;
-    if (m_state.outbox.Take(router,
-                            m_state.membership.Own().incarnation,
-                            m_state.Digest(),
-                            m_state.membership.Digest(),
-                            frame)) {
-      m_state.Act(SendFrame{ router, host->peerAddress, std::move(frame) });
+    if (m_state.outbox.TakeFrame(router,
+                                 m_state.membership.OwnNotice().incarnation,
+                                 m_state.Digest(),
+                                 m_state.membership.Digest(),
+                                 frame)) {
+      m_state.AddAction(
+        SendFrame{ router, host->peerAddress, std::move(frame) });
     }
   }
 }
--- a/src/decision/internal/pool.cpp
+++ b/src/decision/internal/pool.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/decisionconstants.h"
 #include "decision/internal/entitlement.h"
-#include "decision/internal/requestbook.h"
+#include "decision/internal/requesttable.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,24 +13,24 @@
 
 //! Maximum lead of a workspace in weighted service, so that a weight that was
 //! estimated too low cannot lock it out.
-constexpr double kMaxLeadMs = 20000;
+constexpr double kMaxVirtualTimeLeadMs = 20000;
 //! A correction by lag multiplies or divides an entitlement by at most one plus
 //! this value times the fairness weight (0 to 1).
-constexpr double kCorrectionAtFullFairness = 2.0;
+constexpr double kMaxLagCorrection = 2.0;
 //! In a contended pool, leases cover this ratio of the mean light demand, and
-//! overdrafts cover the rest. Overdrafts allow for kLightPeaks standard
-//! deviations of a Poisson distributed number of requests.
-constexpr double kLightLeasedPart = 0.8;
-constexpr double kLightPeaks = 3.0;
+//! overdrafts cover the rest. Overdrafts allow for kLightPeakDeviations
+//! standard deviations of a Poisson distributed number of requests.
+constexpr double kLightLeasedRatio = 0.8;
+constexpr double kLightPeakDeviations = 3.0;
 //! In a pool that is not contended, a router holds slots for its entitlement
 //! times this factor, so that the next request finds a free slot.
 constexpr double kSlackFactor = 1.25;
 constexpr double kLightSmoothingSeconds = 5.0;
-constexpr double kFewestOverdrafts = 2.0;
+constexpr double kMinOverdrafts = 2.0;
 //! Dead band of leases as a ratio of the entitlement, for fairness weights of 0
 //! and 1.
-constexpr double kWidestBand = 0.15;
-constexpr double kNarrowestBand = 0.03;
+constexpr double kMaxDeadBandRatio = 0.15;
+constexpr double kMinDeadBandRatio = 0.03;
 
 }
 
@@ -40,7 +40,7 @@
 }
 
 bool
-Pool::IsPlain() const
+Pool::IsBaseline() const
 {
   return !std::holds_alternative<LeasePolicy>(m_policy);
 }
@@ -68,7 +68,7 @@
   }
   //! NOTE a workspace that was removed from the documents is kept until its
   //! running requests have ended; its queued requests are refused by
-  //! RequestFlow::RefuseOrphans.
+  //! RequestFlow::RefuseRemovedWorkspaces.
   for (auto& [id, queue] : m_queues) {
     if (queue.Demand() > 0) {
       queue.inDocuments = false;
@@ -135,7 +135,7 @@
   std::vector<WorkspaceQueue*> active;
   std::vector<Claimant> claimants;
   m_activeShares = 0;
-  m_allDemand = 0;
+  m_totalDemand = 0;
   for (auto& [id, queue] : m_queues) {
     const auto served =
       static_cast<std::uint32_t>(queue.ServedAt(aNow).count() / kServedUnitMs);
@@ -143,7 +143,7 @@
     queue.demandFleet = aView.Total(id).demand;
     queue.entitledFleet = 0;
     queue.entitledHere = 0;
-    queue.backlogged = IsPlain();
+    queue.backlogged = IsBaseline();
     if (queue.demandFleet == 0) {
       m_lag.Observe(id, aView.Total(id), 0, m_capacity, false, aNow);
       continue;
@@ -152,48 +152,50 @@
     if (queue.Spec().maxInFlight > 0) {
       demand = std::min<double>(demand, queue.Spec().maxInFlight);
     }
-    m_allDemand += demand;
+    m_totalDemand += demand;
     m_activeShares += queue.Spec().share;
     active.push_back(&queue);
     claimants.push_back({ queue.Spec().share, demand });
   }
-  m_contended = m_allDemand > m_capacity;
-  const auto parts = DivideFairly(claimants, m_capacity);
+  m_contended = m_totalDemand > m_capacity;
+  const auto parts = MaxMinFairShares(claimants, m_capacity);
   for (std::size_t i = 0; i < active.size(); ++i) {
     active[i]->entitledFleet = parts[i];
-    const bool unmet = claimants[i].demand > parts[i] * kBackloggedFactor;
+    const bool unmet = claimants[i].demand > parts[i] * kMinBacklogRatio;
     active[i]->backlogged = active[i]->backlogged || unmet;
   }
-  if (!IsPlain()) {
+  if (!IsBaseline()) {
     CorrectByLag(active, aView, aNow);
   }
-  double full = 0;
-  double light = 0;
+  double entitledBacklogged = 0;
+  double entitledLight = 0;
   for (auto* queue : active) {
-    queue->entitledHere =
-      IsPlain() ? queue->Spec().share : queue->entitledFleet * PartHere(*queue);
-    (queue->backlogged ? full : light) += queue->entitledHere;
+    queue->entitledHere = IsBaseline()
+                            ? queue->Spec().share
+                            : queue->entitledFleet * LocalDemandRatio(*queue);
+    (queue->backlogged ? entitledBacklogged : entitledLight) +=
+      queue->entitledHere;
   }
-  m_entitledFull = full;
-  SmoothLight(light, aNow);
+  m_entitledBacklogged = entitledBacklogged;
+  SmoothLightDemand(entitledLight, aNow);
 }
 
 //! NOTE the demand of light workspaces changes with every request; leases that
 //! followed it would cost a message per request. Leases follow its mean, and
 //! overdrafts cover the peaks.
 void
-Pool::SmoothLight(double aLight, TimePoint aNow)
+Pool::SmoothLightDemand(double aEntitledLight, TimePoint aNow)
 {
   const double seconds =
-    std::chrono::duration<double>(aNow - m_lightAt).count();
-  m_lightAt = aNow;
-  const double part = 1.0 - std::exp(-seconds / kLightSmoothingSeconds);
-  m_lightMean += (aLight - m_lightMean) * part;
-  m_lightNow = aLight;
+    std::chrono::duration<double>(aNow - m_entitledLightAt).count();
+  m_entitledLightAt = aNow;
+  const double gain = 1.0 - std::exp(-seconds / kLightSmoothingSeconds);
+  m_entitledLightMean += (aEntitledLight - m_entitledLightMean) * gain;
+  m_entitledLight = aEntitledLight;
 }
 
 double
-Pool::PartHere(const WorkspaceQueue& aQueue) const
+Pool::LocalDemandRatio(const WorkspaceQueue& aQueue) const
 {
   const double here = aQueue.Demand();
   const double fleet = std::max<double>(aQueue.demandFleet, here);
@@ -207,7 +209,7 @@
 //! received the totals, and the entitlements of all routers would add up to
 //! more slots than the pool has.
 void
-Pool::FollowLag(const std::vector<WorkspaceQueue*>& aActive,
+Pool::UpdateLag(const std::vector<WorkspaceQueue*>& aActive,
                 FleetView& aView,
                 TimePoint aNow)
 {
@@ -225,10 +227,9 @@
       entitled[id] = queue->entitledFleet;
     }
   }
-  m_lag.Centre(entitled);
+  m_lag.SubtractMean(entitled);
   for (const auto& [id, slots] : entitled) {
-    aView.SetBehind(id,
-                    static_cast<std::int32_t>(1000 * m_lag.SecondsBehind(id)));
+    aView.SetLag(id, static_cast<std::int32_t>(1000 * m_lag.LagSeconds(id)));
   }
 }
 
@@ -239,8 +240,8 @@
                    FleetView& aView,
                    TimePoint aNow)
 {
-  const double most = 1.0 + kCorrectionAtFullFairness * m_fairness;
-  FollowLag(aActive, aView, aNow);
+  const double maxFactor = 1.0 + kMaxLagCorrection * m_fairness;
+  UpdateLag(aActive, aView, aNow);
   double before = 0;
   double after = 0;
   std::vector<double> corrected(aActive.size(), 0);
@@ -250,8 +251,10 @@
     if (!queue.backlogged) {
       continue;
     }
-    const double factor = std::clamp(
-      1.0 + m_lag.SecondsBehind(id) / kLagHorizonSeconds, 1.0 / most, most);
+    const double factor =
+      std::clamp(1.0 + m_lag.LagSeconds(id) / kLagHorizonSeconds,
+                 1.0 / maxFactor,
+                 maxFactor);
     corrected[i] = queue.entitledFleet * factor;
     before += queue.entitledFleet;
     after += corrected[i];
@@ -267,7 +270,7 @@
 Pool::Enqueue(WorkspaceQueue& aQueue, RequestId aRequest)
 {
   if (aQueue.Demand() == 0) {
-    aQueue.LiftVirtualTime(m_systemTime);
+    aQueue.LiftVirtualTime(m_systemVirtualTime);
   }
   aQueue.Push(aRequest);
 }
@@ -283,10 +286,10 @@
     if (queue.Waiting() == 0) {
       continue;
     }
-    const auto cap = queue.Spec().maxInFlight;
-    const auto capHere =
-      std::max(1.0, std::floor(cap * PartHere(queue) + 1e-9));
-    if (cap > 0 && queue.Running() >= capHere) {
+    const auto maxInFlight = queue.Spec().maxInFlight;
+    const auto maxInFlightHere =
+      std::max(1.0, std::floor(maxInFlight * LocalDemandRatio(queue) + 1e-9));
+    if (maxInFlight > 0 && queue.Running() >= maxInFlightHere) {
       continue;
     }
     const auto rank = std::pair(queue.backlogged, queue.VirtualTime());
@@ -301,21 +304,21 @@
 bool
 Pool::MayOverdraw() const
 {
-  const double peaks = kLightPeaks * std::sqrt(m_lightMean);
-  const double most =
-    std::max(kFewestOverdrafts, m_slots.TotalLimit() * kOverdraftPart + peaks);
-  return m_slots.Overdrafts() < static_cast<std::uint32_t>(most);
+  const double peak = kLightPeakDeviations * std::sqrt(m_entitledLightMean);
+  const double maxOverdrafts =
+    std::max(kMinOverdrafts, m_slots.TotalLimit() * kOverdraftRatio + peak);
+  return m_slots.OverdraftCount() < static_cast<std::uint32_t>(maxOverdrafts);
 }
 
 std::optional<Placement>
 Pool::PickProbe(const RequestState& aState, TimePoint aNow) const
 {
   for (const auto& lent : m_upstreams) {
-    const bool safe =
-      aState.asked.repeatable || m_health.FailedBeforeRunning(lent.upstream);
+    const bool safe = aState.parameters.repeatable ||
+                      m_health.LastFailedBeforeRunning(lent.upstream);
     if (safe && m_health.MayProbe(lent.upstream, aNow)) {
       return Placement{
-        aState.asked.request, lent.upstream, "probe", true, false
+        aState.parameters.request, lent.upstream, "probe", true, false
       };
     }
   }
@@ -323,20 +326,20 @@
 }
 
 std::optional<Placement>
-Pool::PickNext(RequestBook& aBook, TimePoint aNow)
+Pool::PickNext(RequestTable& aRequests, TimePoint aNow)
 {
   auto* queue = NextQueue();
   if (queue == nullptr) {
     return std::nullopt;
   }
   const auto request = queue->Front();
-  const auto* state = aBook.Find(request);
+  const auto* state = aRequests.Find(request);
   if (auto probe = PickProbe(*state, aNow)) {
     return probe;
   }
-  auto upstream = m_slots.MostFree(state->avoid);
+  auto upstream = m_slots.FindMostFree(state->avoid);
   if (!upstream) {
-    upstream = m_slots.MostFree(std::nullopt);
+    upstream = m_slots.FindMostFree(std::nullopt);
   }
   if (upstream) {
     const auto* why =
@@ -344,7 +347,7 @@
     return Placement{ request, *upstream, why, false, false };
   }
   if (!queue->backlogged && MayOverdraw()) {
-    const auto overdrawn = m_slots.BestOverdraft(state->avoid);
+    const auto overdrawn = m_slots.FindOverdraft(state->avoid);
     if (overdrawn) {
       return Placement{ request, *overdrawn, "overdraft", false, true };
     }
@@ -353,29 +356,32 @@
 }
 
 void
-Pool::Start(const Placement& aPlacement, RequestBook& aBook, TimePoint aNow)
+Pool::Start(const Placement& aPlacement,
+            RequestTable& aRequests,
+            TimePoint aNow)
 {
-  auto& state = *aBook.Find(aPlacement.request);
-  auto& queue = m_queues.at(state.asked.workspace);
+  auto& state = *aRequests.Find(aPlacement.request);
+  auto& queue = m_queues.at(state.parameters.workspace);
   queue.Remove(aPlacement.request);
-  m_systemTime = std::max(m_systemTime, queue.VirtualTime());
-  state.guess = queue.Started(aNow);
-  queue.LowerVirtualTime(m_systemTime + kMaxLeadMs);
+  m_systemVirtualTime = std::max(m_systemVirtualTime, queue.VirtualTime());
+  state.estimatedServiceTime = queue.StartRequest(aNow);
+  queue.LowerVirtualTime(m_systemVirtualTime + kMaxVirtualTimeLeadMs);
   state.phase = RequestPhase::Running;
   state.startedAt = aNow;
   state.upstream = aPlacement.upstream;
   state.attempts++;
   m_slots.At(aPlacement.upstream).inUse++;
   if (aPlacement.probe) {
-    m_health.ProbeSent(aPlacement.upstream, aNow);
+    m_health.RecordProbe(aPlacement.upstream, aNow);
   }
 }
 
 void
-Pool::FinishAttempt(RequestBook& aBook, RequestId aRequest, TimePoint aNow)
+Pool::FinishAttempt(RequestTable& aRequests, RequestId aRequest, TimePoint aNow)
 {
-  const auto& state = *aBook.Find(aRequest);
-  m_queues.at(state.asked.workspace).Ended(state.startedAt, aNow, state.guess);
+  const auto& state = *aRequests.Find(aRequest);
+  m_queues.at(state.parameters.workspace)
+    .EndRequest(state.startedAt, aNow, state.estimatedServiceTime);
   m_slots.At(state.upstream).inUse--;
 }
 
@@ -384,15 +390,18 @@
 {
   SlotNeeds needs;
   needs.entitled =
-    m_contended
-      ? m_entitledFull + kLightLeasedPart * m_lightMean
-      : (m_entitledFull + std::max(m_lightMean, m_lightNow)) * kSlackFactor + 1;
+    m_contended ? m_entitledBacklogged + kLightLeasedRatio * m_entitledLightMean
+                : (m_entitledBacklogged +
+                   std::max(m_entitledLightMean, m_entitledLight)) *
+                      kSlackFactor +
+                    1;
   needs.contended = m_contended;
-  needs.bandPart = kWidestBand - (kWidestBand - kNarrowestBand) * m_fairness;
+  needs.deadBandRatio =
+    kMaxDeadBandRatio - (kMaxDeadBandRatio - kMinDeadBandRatio) * m_fairness;
   for (const auto& [id, queue] : m_queues) {
     needs.queued += queue.Waiting();
-    needs.sparseWaiting =
-      needs.sparseWaiting || (!queue.backlogged && queue.Waiting() > 0);
+    needs.lightWaiting =
+      needs.lightWaiting || (!queue.backlogged && queue.Waiting() > 0);
   }
   return needs;
 }
@@ -400,24 +409,24 @@
 //! NOTE the entitlement is only the lower bound, because it follows the demand:
 //! a burst would be measured by what the workspace needed before it.
 double
-Pool::SlotsWithinReach(const WorkspaceQueue& aQueue) const
+Pool::AttainableSlots(const WorkspaceQueue& aQueue) const
 {
   const double share = aQueue.Spec().share;
   const double shares = std::max(m_activeShares, share);
-  const double others = m_allDemand - aQueue.demandFleet;
+  const double others = m_totalDemand - aQueue.demandFleet;
   const double fleet =
     std::max(m_capacity * share / shares, m_capacity - others);
-  return std::max(aQueue.entitledHere, fleet * PartHere(aQueue));
+  return std::max(aQueue.entitledHere, fleet * LocalDemandRatio(aQueue));
 }
 
 Duration
 Pool::ExpectedWait(const WorkspaceQueue& aQueue) const
 {
-  const double slots = std::max(0.05, SlotsWithinReach(aQueue));
+  const double slots = std::max(0.05, AttainableSlots(aQueue));
   const double ahead = aQueue.Waiting();
   const double runs = std::floor(ahead / slots);
   return Duration(static_cast<std::int64_t>(
-    runs * static_cast<double>(aQueue.MeanCost().count())));
+    runs * static_cast<double>(aQueue.MeanServiceTime().count())));
 }
 
 }
--- a/src/decision/internal/pool.h
+++ b/src/decision/internal/pool.h
@@ -16,7 +16,7 @@
 
 namespace hemlockgauge::decision {
 
-class RequestBook;
+class RequestTable;
 struct RequestState;
 
 //! The next request to run and the upstream to run it on.
@@ -57,9 +57,13 @@
   void RefreshShares(FleetView& aView, TimePoint aNow);
   void Enqueue(WorkspaceQueue& aQueue, RequestId aRequest);
   //! Returns the next request that may run now, if any.
-  std::optional<Placement> PickNext(RequestBook& aBook, TimePoint aNow);
-  void Start(const Placement& aPlacement, RequestBook& aBook, TimePoint aNow);
-  void FinishAttempt(RequestBook& aBook, RequestId aRequest, TimePoint aNow);
+  std::optional<Placement> PickNext(RequestTable& aRequests, TimePoint aNow);
+  void Start(const Placement& aPlacement,
+             RequestTable& aRequests,
+             TimePoint aNow);
+  void FinishAttempt(RequestTable& aRequests,
+                     RequestId aRequest,
+                     TimePoint aNow);
 
   SlotNeeds Needs() const;
   SlotTable& Slots() { return m_slots; }
@@ -72,28 +76,28 @@
   const LentUpstream* FindUpstream(UpstreamId aUpstream) const;
   std::uint32_t ConcurrencyPerUpstream() const { return m_concurrency; }
   double Capacity() const { return m_capacity; }
-  double SecondsBehind(WorkspaceId aWorkspace) const
+  double LagSeconds(WorkspaceId aWorkspace) const
   {
-    return m_lag.SecondsBehind(aWorkspace);
+    return m_lag.LagSeconds(aWorkspace);
   }
   std::size_t EjectedCount() const;
   //! Estimates how long a new request of a workspace would wait.
   Duration ExpectedWait(const WorkspaceQueue& aQueue) const;
 
 private:
-  bool IsPlain() const;
-  void FollowLag(const std::vector<WorkspaceQueue*>& aActive,
+  bool IsBaseline() const;
+  void UpdateLag(const std::vector<WorkspaceQueue*>& aActive,
                  FleetView& aView,
                  TimePoint aNow);
   void CorrectByLag(std::vector<WorkspaceQueue*>& aActive,
                     FleetView& aView,
                     TimePoint aNow);
-  void SmoothLight(double aLight, TimePoint aNow);
+  void SmoothLightDemand(double aEntitledLight, TimePoint aNow);
   //! Slots of this router that the workspace could use if its demand were
   //! unlimited.
-  double SlotsWithinReach(const WorkspaceQueue& aQueue) const;
+  double AttainableSlots(const WorkspaceQueue& aQueue) const;
   //! Ratio of the workspace's demand in the fleet that is at this router.
-  double PartHere(const WorkspaceQueue& aQueue) const;
+  double LocalDemandRatio(const WorkspaceQueue& aQueue) const;
   WorkspaceQueue* NextQueue();
   std::optional<Placement> PickProbe(const RequestState& aState,
                                      TimePoint aNow) const;
@@ -106,15 +110,15 @@
   UpstreamHealth m_health;
   LagTracker m_lag;
   std::uint32_t m_concurrency = 1;
-  double m_fairness = 0.5;   //!< 0 to 1
-  double m_capacity = 0;     //!< slots, without ejected upstreams
-  double m_entitledFull = 0; //!< slots here of backlogged workspaces
-  double m_lightMean = 0;    //!< slots here of light workspaces, smoothed
-  double m_lightNow = 0;     //!< the same, at the last refresh
-  TimePoint m_lightAt{};     //!< time of the last refresh
-  double m_activeShares = 0; //!< sum over workspaces with demand
-  double m_allDemand = 0;    //!< of the fleet, in slots
-  double m_systemTime = 0;   //!< virtual time of the last dispatched queue
+  double m_fairness = 0.5;         //!< 0 to 1
+  double m_capacity = 0;           //!< slots, without ejected upstreams
+  double m_entitledBacklogged = 0; //!< slots here of backlogged workspaces
+  double m_entitledLightMean = 0;  //!< slots here of light workspaces, smoothed
+  double m_entitledLight = 0;      //!< the same, at the last refresh
+  TimePoint m_entitledLightAt{};   //!< time of the last refresh
+  double m_activeShares = 0;       //!< sum over workspaces with demand
+  double m_totalDemand = 0;        //!< of the fleet, in slots
+  double m_systemVirtualTime = 0;  //!< highest one of a dispatched queue
   bool m_contended = false;
 };
 
--- a/src/decision/internal/requestflow.cpp
+++ b/src/decision/internal/requestflow.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 bool
-RanNothing(AttemptOutcome aOutcome)
+DidNotRun(AttemptOutcome aOutcome)
 {
   return aOutcome == AttemptOutcome::ConnectFailed ||
          aOutcome == AttemptOutcome::Refused ||
@@ -27,7 +27,7 @@
 }
 
 void
-RequestFlow::Take(const RequestQueued& aEvent)
+RequestFlow::Handle(const RequestQueued& aEvent)
 {
   auto& pool = m_state.PoolOf(aEvent.pool);
   auto* queue = pool.Find(aEvent.workspace);
@@ -38,38 +38,40 @@
            kMinRetryAfter);
     return;
   }
-  if (const auto held = m_crashes.HeldFor(aEvent)) {
-    Refuse(
-      aEvent.request, RefusalReason::Quarantined, base::Verdict::NotRun, *held);
+  if (const auto quarantinedFor = m_crashes.QuarantinedFor(aEvent)) {
+    Refuse(aEvent.request,
+           RefusalReason::Quarantined,
+           base::Verdict::NotRun,
+           *quarantinedFor);
     return;
   }
   if (queue->Demand() == 0) {
-    pool.RefreshShares(m_state.view, m_state.now);
+    pool.RefreshShares(m_state.fleetView, m_state.now);
   }
-  if (const auto why = WhyNotAdmitted(aEvent, *queue, pool)) {
+  if (const auto why = CheckAdmission(aEvent, *queue, pool)) {
     Refuse(
       aEvent.request, *why, base::Verdict::NotRun, RetryAfter(pool, *queue));
     return;
   }
-  if (!m_state.book.Add(aEvent, m_state.now)) {
-    m_state.Expect(false, "duplicate request id");
+  if (!m_state.requests.Add(aEvent, m_state.now)) {
+    m_state.CheckInvariant(false, "duplicate request id");
     return;
   }
-  m_state.retries.CountFirstAttempt();
+  m_state.retryBudget.CountFirstAttempt();
   const bool wasIdle = queue->Demand() == 0;
   pool.Enqueue(*queue, aEvent.request);
   if (wasIdle) {
-    pool.RefreshShares(m_state.view, m_state.now);
+    pool.RefreshShares(m_state.fleetView, m_state.now);
   }
-  m_state.NoteRequest(DecisionKind::Queued,
-                      aEvent.request,
-                      queue->Spec().name,
-                      "",
-                      "waiting=" + std::to_string(queue->Waiting()));
+  m_state.RecordRequest(DecisionKind::Queued,
+                        aEvent.request,
+                        queue->Spec().name,
+                        "",
+                        "waiting=" + std::to_string(queue->Waiting()));
 }
 
 std::optional<RefusalReason>
-RequestFlow::WhyNotAdmitted(const RequestQueued& aRequest,
+RequestFlow::CheckAdmission(const RequestQueued& aRequest,
                             WorkspaceQueue& aQueue,
                             const Pool& aPool)
 {
@@ -79,12 +81,12 @@
   if (aRequest.deadline <= m_state.now) {
     return RefusalReason::DeadlinePassed;
   }
-  const auto total = m_state.view.Total(aRequest.workspace).demand;
+  const auto total = m_state.fleetView.Total(aRequest.workspace).demand;
   const double here = std::max(1U, aQueue.Demand());
-  const double part =
+  const double ratio =
     std::max(here / std::max<double>(total, here),
              1.0 / static_cast<double>(m_state.membership.AliveCount()));
-  if (!aQueue.TakeRateToken(m_state.now, part)) {
+  if (!aQueue.TakeRateToken(m_state.now, ratio)) {
     return RefusalReason::RateLimit;
   }
   const double queuedFleet =
@@ -113,44 +115,45 @@
                     base::Verdict aVerdict,
                     Duration aRetryAfter)
 {
-  m_state.NoteRequest(DecisionKind::Refused,
-                      aRequest,
-                      "",
-                      "",
-                      std::string(kRefusalReasonNames.NameOf(aReason)));
-  m_state.Act(RefuseRequest{ aRequest, aReason, aVerdict, aRetryAfter });
+  m_state.RecordRequest(DecisionKind::Refused,
+                        aRequest,
+                        "",
+                        "",
+                        std::string(kRefusalReasonNames.NameOf(aReason)));
+  m_state.AddAction(RefuseRequest{ aRequest, aReason, aVerdict, aRetryAfter });
 }
 
 void
-RequestFlow::RefuseKnown(RequestId aRequest, RefusalReason aReason)
+RequestFlow::RefuseQueued(RequestId aRequest, RefusalReason aReason)
 {
-  const auto* request = m_state.book.Find(aRequest);
-  auto& pool = m_state.PoolOf(request->asked.pool);
-  const auto& queue = *pool.Find(request->asked.workspace);
-  RefuseWaiting(aRequest, aReason, RetryAfter(pool, queue));
+  const auto* request = m_state.requests.Find(aRequest);
+  auto& pool = m_state.PoolOf(request->parameters.pool);
+  const auto& queue = *pool.Find(request->parameters.workspace);
+  RemoveAndRefuse(aRequest, aReason, RetryAfter(pool, queue));
 }
 
 void
-RequestFlow::RefuseWaiting(RequestId aRequest,
-                           RefusalReason aReason,
-                           Duration aRetryAfter)
+RequestFlow::RemoveAndRefuse(RequestId aRequest,
+                             RefusalReason aReason,
+                             Duration aRetryAfter)
 {
-  const auto* request = m_state.book.Find(aRequest);
-  auto& pool = m_state.PoolOf(request->asked.pool);
+  const auto* request = m_state.requests.Find(aRequest);
+  auto& pool = m_state.PoolOf(request->parameters.pool);
   const auto verdict =
     request->mayHaveRun ? base::Verdict::MayHaveRun : base::Verdict::NotRun;
-  pool.Find(request->asked.workspace)->Remove(aRequest);
-  m_state.book.Erase(aRequest);
+  pool.Find(request->parameters.workspace)->Remove(aRequest);
+  m_state.requests.Erase(aRequest);
   Refuse(aRequest, aReason, verdict, aRetryAfter);
 }
 
 void
 RequestFlow::RefuseQuarantined()
 {
-  for (const auto id : m_state.book.AllQueued()) {
-    const auto held = m_crashes.HeldFor(m_state.book.Find(id)->asked);
-    if (held) {
-      RefuseWaiting(id, RefusalReason::Quarantined, *held);
+  for (const auto id : m_state.requests.AllQueued()) {
+    const auto quarantinedFor =
+      m_crashes.QuarantinedFor(m_state.requests.Find(id)->parameters);
+    if (quarantinedFor) {
+      RemoveAndRefuse(id, RefusalReason::Quarantined, *quarantinedFor);
     }
   }
 }
@@ -158,18 +161,18 @@
 void
 RequestFlow::RefuseOverdue()
 {
-  for (const auto request : m_state.book.Overdue(m_state.now)) {
-    RefuseKnown(request, RefusalReason::DeadlinePassed);
+  for (const auto request : m_state.requests.Overdue(m_state.now)) {
+    RefuseQueued(request, RefusalReason::DeadlinePassed);
   }
 }
 
 void
-RequestFlow::RefuseOrphans()
+RequestFlow::RefuseRemovedWorkspaces()
 {
   for (auto& [id, pool] : m_state.pools) {
     for (auto& [workspace, queue] : pool.Workspaces()) {
       while (!queue.inDocuments && queue.Waiting() > 0) {
-        RefuseKnown(queue.Front(), RefusalReason::UnknownWorkspace);
+        RefuseQueued(queue.Front(), RefusalReason::UnknownWorkspace);
       }
     }
   }
@@ -178,67 +181,68 @@
 void
 RequestFlow::RefuseAllQueued(RefusalReason aReason)
 {
-  for (const auto request : m_state.book.AllQueued()) {
-    RefuseKnown(request, aReason);
+  for (const auto request : m_state.requests.AllQueued()) {
+    RefuseQueued(request, aReason);
   }
 }
 
 void
-RequestFlow::Take(const RequestAbandoned& aEvent)
+RequestFlow::Handle(const RequestAbandoned& aEvent)
 {
-  auto* request = m_state.book.Find(aEvent.request);
+  auto* request = m_state.requests.Find(aEvent.request);
   if (request == nullptr || request->phase != RequestPhase::Queued) {
     return; // a running request ends with AttemptEnded
   }
-  auto& pool = m_state.PoolOf(request->asked.pool);
-  auto& queue = *pool.Find(request->asked.workspace);
+  auto& pool = m_state.PoolOf(request->parameters.pool);
+  auto& queue = *pool.Find(request->parameters.workspace);
   queue.Remove(aEvent.request);
-  m_state.NoteRequest(DecisionKind::Abandoned,
-                      aEvent.request,
-                      queue.Spec().name,
-                      "",
-                      "caller-gone");
-  m_state.book.Erase(aEvent.request);
+  m_state.RecordRequest(DecisionKind::Abandoned,
+                        aEvent.request,
+                        queue.Spec().name,
+                        "",
+                        "caller-gone");
+  m_state.requests.Erase(aEvent.request);
 }
 
 void
-RequestFlow::Take(const AttemptEnded& aEvent)
+RequestFlow::Handle(const AttemptEnded& aEvent)
 {
-  auto* request = m_state.book.Find(aEvent.request);
+  auto* request = m_state.requests.Find(aEvent.request);
   if (request == nullptr || request->phase != RequestPhase::Running) {
-    m_state.Expect(false, "an attempt ended for a request that is not running");
+    m_state.CheckInvariant(
+      false, "an attempt ended for a request that is not running");
     return;
   }
-  auto& pool = m_state.PoolOf(request->asked.pool);
+  auto& pool = m_state.PoolOf(request->parameters.pool);
   const auto upstream = request->upstream;
-  const auto workspace = pool.Find(request->asked.workspace)->Spec().name;
-  pool.FinishAttempt(m_state.book, aEvent.request, m_state.now);
-  CountHealth(pool, upstream, aEvent);
-  m_crashes.Ended(*request, upstream, aEvent.outcome);
-  request->mayHaveRun = request->mayHaveRun || !RanNothing(aEvent.outcome);
+  const auto workspace = pool.Find(request->parameters.workspace)->Spec().name;
+  pool.FinishAttempt(m_state.requests, aEvent.request, m_state.now);
+  UpdateHealth(pool, upstream, aEvent);
+  m_crashes.RecordOutcome(*request, upstream, aEvent.outcome);
+  request->mayHaveRun = request->mayHaveRun || !DidNotRun(aEvent.outcome);
   if (auto* lease = std::get_if<LeasePolicy>(&pool.Policy())) {
-    lease->borrower.SlotFreed(upstream, pool.Needs(), pool.Slots());
+    lease->borrower.OnSlotFreed(upstream, pool.Needs(), pool.Slots());
   }
   const auto outcome = std::string(kAttemptOutcomeNames.NameOf(aEvent.outcome));
   const bool ended = aEvent.outcome == AttemptOutcome::Completed ||
                      aEvent.outcome == AttemptOutcome::CallerGone;
   if (ended) {
-    m_state.NoteRequest(DecisionKind::Ended,
-                        aEvent.request,
-                        workspace,
-                        m_state.NameOf(upstream),
-                        outcome);
-    m_state.book.Erase(aEvent.request);
+    m_state.RecordRequest(DecisionKind::Ended,
+                          aEvent.request,
+                          workspace,
+                          m_state.NameOf(upstream),
+                          outcome);
+    m_state.requests.Erase(aEvent.request);
     return;
   }
   if (MayRetry(*request, aEvent.outcome)) {
     request->avoid = upstream;
     m_state.counters.retries++;
-    m_state.NoteRequest(DecisionKind::Retried,
-                        aEvent.request,
-                        workspace,
-                        m_state.NameOf(upstream),
-                        outcome);
+    m_state.RecordRequest(DecisionKind::Retried,
+                          aEvent.request,
+                          workspace,
+                          m_state.NameOf(upstream),
+                          outcome);
     Requeue(pool, *request);
     return;
   }
@@ -247,41 +251,41 @@
   const auto reason = aEvent.outcome == AttemptOutcome::BrokenLate
                         ? RefusalReason::Broken
                         : RefusalReason::UpstreamFailed;
-  m_state.book.Erase(aEvent.request);
+  m_state.requests.Erase(aEvent.request);
   Refuse(aEvent.request, reason, verdict, kMinRetryAfter);
 }
 
 void
-RequestFlow::CountHealth(Pool& aPool,
-                         UpstreamId aUpstream,
-                         const AttemptEnded& aEvent)
+RequestFlow::UpdateHealth(Pool& aPool,
+                          UpstreamId aUpstream,
+                          const AttemptEnded& aEvent)
 {
   if (aEvent.outcome == AttemptOutcome::Completed) {
-    if (aPool.Health().Succeeded(aUpstream)) {
+    if (aPool.Health().RecordSuccess(aUpstream)) {
       m_state.poolsStale = true;
-      m_state.NoteRequest(DecisionKind::Readmitted,
-                          aEvent.request,
-                          "",
-                          m_state.NameOf(aUpstream),
-                          "probe-completed");
+      m_state.RecordRequest(DecisionKind::Readmitted,
+                            aEvent.request,
+                            "",
+                            m_state.NameOf(aUpstream),
+                            "probe-completed");
     }
     return;
   }
   if (!IsUpstreamFailure(aEvent.outcome)) {
     return;
   }
-  const bool ejected = aPool.Health().Failed(aUpstream,
-                                             RanNothing(aEvent.outcome),
-                                             m_state.now,
-                                             aPool.Upstreams().size(),
-                                             aPool.EjectedCount());
+  const bool ejected = aPool.Health().RecordFailure(aUpstream,
+                                                    DidNotRun(aEvent.outcome),
+                                                    m_state.now,
+                                                    aPool.Upstreams().size(),
+                                                    aPool.EjectedCount());
   if (ejected) {
     m_state.poolsStale = true;
-    m_state.NoteRequest(DecisionKind::Ejected,
-                        aEvent.request,
-                        "",
-                        m_state.NameOf(aUpstream),
-                        "failures-in-a-row");
+    m_state.RecordRequest(DecisionKind::Ejected,
+                          aEvent.request,
+                          "",
+                          m_state.NameOf(aUpstream),
+                          "failures-in-a-row");
   }
 }
 
@@ -291,20 +295,21 @@
   if (aOutcome == AttemptOutcome::BrokenLate || m_state.draining) {
     return false;
   }
-  if (m_crashes.HeldFor(aRequest.asked)) {
+  if (m_crashes.QuarantinedFor(aRequest.parameters)) {
     return false;
   }
-  const bool safe = RanNothing(aOutcome) || aRequest.asked.repeatable;
-  const bool inTime = m_state.now < aRequest.asked.deadline;
+  const bool safe = DidNotRun(aOutcome) || aRequest.parameters.repeatable;
+  const bool inTime = m_state.now < aRequest.parameters.deadline;
   return safe && inTime && aRequest.attempts < kMaxAttempts &&
-         m_state.retries.Take();
+         m_state.retryBudget.Take();
 }
 
 void
 RequestFlow::Requeue(Pool& aPool, RequestState& aRequest)
 {
   aRequest.phase = RequestPhase::Queued;
-  aPool.Find(aRequest.asked.workspace)->PushFront(aRequest.asked.request);
+  aPool.Find(aRequest.parameters.workspace)
+    ->PushFront(aRequest.parameters.request);
 }
 
 void
@@ -321,7 +326,7 @@
 void
 RequestFlow::DispatchPool(Pool& aPool)
 {
-  while (const auto placement = aPool.PickNext(m_state.book, m_state.now)) {
+  while (const auto placement = aPool.PickNext(m_state.requests, m_state.now)) {
     Send(aPool, *placement);
   }
 }
@@ -329,15 +334,15 @@
 void
 RequestFlow::Send(Pool& aPool, const Placement& aPlacement)
 {
-  auto& request = *m_state.book.Find(aPlacement.request);
+  auto& request = *m_state.requests.Find(aPlacement.request);
   const auto* host = m_state.hosts.FindUpstream(aPlacement.upstream);
-  const bool repeated = request.mayHaveRun && !request.asked.repeatable;
-  m_state.Expect(!repeated, "a non-repeatable request was sent twice");
-  m_state.Expect(m_state.now < request.asked.deadline,
-                 "a request was sent after its deadline");
-  aPool.Start(aPlacement, m_state.book, m_state.now);
+  const bool repeated = request.mayHaveRun && !request.parameters.repeatable;
+  m_state.CheckInvariant(!repeated, "a non-repeatable request was sent twice");
+  m_state.CheckInvariant(m_state.now < request.parameters.deadline,
+                         "a request was sent after its deadline");
+  aPool.Start(aPlacement, m_state.requests, m_state.now);
   m_state.counters.overdrafts += aPlacement.overdraft ? 1 : 0;
-  TimePoint validUntil = request.asked.deadline;
+  TimePoint validUntil = request.parameters.deadline;
   if (const auto* lease = std::get_if<LeasePolicy>(&aPool.Policy())) {
     if (!aPlacement.probe && !aPlacement.overdraft) {
       validUntil = std::min(
@@ -345,16 +350,16 @@
         lease->borrower.ExpiryOf(aPlacement.upstream, m_state.LeaseExpiry()));
     }
   }
-  m_state.NoteRequest(DecisionKind::Placed,
-                      aPlacement.request,
-                      aPool.Find(request.asked.workspace)->Spec().name,
-                      host->name,
-                      std::string(aPlacement.why));
-  m_state.Act(SendRequest{ aPlacement.request,
-                           aPlacement.upstream,
-                           host->address,
-                           request.attempts,
-                           validUntil });
+  m_state.RecordRequest(DecisionKind::Placed,
+                        aPlacement.request,
+                        aPool.Find(request.parameters.workspace)->Spec().name,
+                        host->name,
+                        std::string(aPlacement.why));
+  m_state.AddAction(SendRequest{ aPlacement.request,
+                                 aPlacement.upstream,
+                                 host->address,
+                                 request.attempts,
+                                 validUntil });
 }
 
 }
--- a/src/decision/internal/requestflow.h
+++ b/src/decision/internal/requestflow.h
@@ -16,12 +16,12 @@
   {
   }
 
-  void Take(const RequestQueued& aEvent);
-  void Take(const RequestAbandoned& aEvent);
-  void Take(const AttemptEnded& aEvent);
+  void Handle(const RequestQueued& aEvent);
+  void Handle(const RequestAbandoned& aEvent);
+  void Handle(const AttemptEnded& aEvent);
   void RefuseOverdue();
   //! Refuses queued requests whose workspace was removed from the documents.
-  void RefuseOrphans();
+  void RefuseRemovedWorkspaces();
   void RefuseAllQueued(RefusalReason aReason);
   //! Refuses queued requests that have been quarantined in the meantime.
   void RefuseQuarantined();
@@ -30,7 +30,7 @@
 
 private:
   //! Returns why a request is not admitted, or nothing if it is.
-  std::optional<RefusalReason> WhyNotAdmitted(const RequestQueued& aRequest,
+  std::optional<RefusalReason> CheckAdmission(const RequestQueued& aRequest,
                                               WorkspaceQueue& aQueue,
                                               const Pool& aPool);
   void Refuse(RequestId aRequest,
@@ -38,16 +38,16 @@
               base::Verdict aVerdict,
               Duration aRetryAfter);
   //! Refuses a queued request; the caller may retry after the expected wait.
-  void RefuseKnown(RequestId aRequest, RefusalReason aReason);
+  void RefuseQueued(RequestId aRequest, RefusalReason aReason);
   //! The same, with a given time to retry after.
-  void RefuseWaiting(RequestId aRequest,
-                     RefusalReason aReason,
-                     Duration aRetryAfter);
+  void RemoveAndRefuse(RequestId aRequest,
+                       RefusalReason aReason,
+                       Duration aRetryAfter);
   void DispatchPool(Pool& aPool);
   void Send(Pool& aPool, const Placement& aPlacement);
-  void CountHealth(Pool& aPool,
-                   UpstreamId aUpstream,
-                   const AttemptEnded& aEvent);
+  void UpdateHealth(Pool& aPool,
+                    UpstreamId aUpstream,
+                    const AttemptEnded& aEvent);
   bool MayRetry(const RequestState& aRequest, AttemptOutcome aOutcome);
   void Requeue(Pool& aPool, RequestState& aRequest);
   Duration RetryAfter(const Pool& aPool, const WorkspaceQueue& aQueue) const;
--- a/src/decision/internal/requestbook.cpp
+++ b/src/decision/internal/requesttable.cpp
@@ -1,12 +1,12 @@
-#include "decision/internal/requestbook.h"
+#include "decision/internal/requesttable.h"
 
 namespace hemlockgauge::decision {
 
 bool
-RequestBook::Add(const RequestQueued& aRequest, TimePoint aNow)
+RequestTable::Add(const RequestQueued& aRequest, TimePoint aNow)
 {
   RequestState state;
-  state.asked = aRequest;
+  state.parameters = aRequest;
   state.queuedAt = aNow;
   const auto [at, isNew] = m_requests.try_emplace(aRequest.request, state);
   if (isNew) {
@@ -16,20 +16,20 @@
 }
 
 RequestState*
-RequestBook::Find(RequestId aRequest)
+RequestTable::Find(RequestId aRequest)
 {
   const auto found = m_requests.find(aRequest);
   return found == m_requests.end() ? nullptr : &found->second;
 }
 
 void
-RequestBook::Erase(RequestId aRequest)
+RequestTable::Erase(RequestId aRequest)
 {
   const auto found = m_requests.find(aRequest);
   if (found == m_requests.end()) {
     return;
   }
-  const auto range = m_deadlines.equal_range(found->second.asked.deadline);
+  const auto range = m_deadlines.equal_range(found->second.parameters.deadline);
   for (auto at = range.first; at != range.second; ++at) {
     if (at->second == aRequest) {
       m_deadlines.erase(at);
@@ -40,7 +40,7 @@
 }
 
 std::vector<RequestId>
-RequestBook::Overdue(TimePoint aNow) const
+RequestTable::Overdue(TimePoint aNow) const
 {
   std::vector<RequestId> overdue;
   for (const auto& [deadline, request] : m_deadlines) {
@@ -56,7 +56,7 @@
 }
 
 std::vector<RequestId>
-RequestBook::AllQueued() const
+RequestTable::AllQueued() const
 {
   std::vector<RequestId> queued;
   for (const auto& [request, state] : m_requests) {
--- a/src/decision/internal/requestbook.h
+++ b/src/decision/internal/requesttable.h
@@ -17,19 +17,19 @@
 //! One request that is queued or running.
 struct RequestState
 {
-  RequestQueued asked;
+  RequestQueued parameters;
   RequestPhase phase = RequestPhase::Queued;
   TimePoint queuedAt{};
   TimePoint startedAt{};
-  Duration guess{};      //!< estimated service time of the running attempt
-  UpstreamId upstream{}; //!< of the last attempt
+  Duration estimatedServiceTime{}; //!< of the running attempt
+  UpstreamId upstream{};           //!< of the last attempt
   std::optional<UpstreamId> avoid; //!< where the last attempt failed
   std::uint32_t attempts = 0;
   bool mayHaveRun = false;
 };
 
 //! Holds all requests of this router that have not ended.
-class RequestBook
+class RequestTable
 {
 public:
   //! Returns false if the request id is already present.
--- a/src/decision/internal/retrybudget.cpp
+++ b/src/decision/internal/retrybudget.cpp
@@ -9,7 +9,7 @@
 void
 RetryBudget::CountFirstAttempt()
 {
-  m_tokens = std::min(kRetryBudgetBurst, m_tokens + kRetryBudgetPart);
+  m_tokens = std::min(kRetryBudgetBurst, m_tokens + kRetryBudgetRatio);
 }
 
 bool
--- a/src/decision/internal/slotborrower.cpp
+++ b/src/decision/internal/slotborrower.cpp
@@ -11,32 +11,35 @@
 
 namespace {
 
-constexpr double kMinBandSlots = 0.6;
-constexpr double kMaxUrgency = 999;
+//! Minimum dead band: differences from the entitlement below it are ignored.
+constexpr double kMinDeadBandSlots = 0.6;
+//! Upper limit of the percentage of the entitlement that is reported as held.
+constexpr double kMaxHeldPercent = 999;
 //! A router that lacks more than this ratio of its entitlement, and more than
-//! kUrgentSlots, requests slots at the shorter kUrgentAskPeriod.
-constexpr double kUrgentPart = 0.25;
-constexpr double kUrgentSlots = 3;
-constexpr std::uint32_t kSlotsPerAsk = 2;
-constexpr std::size_t kFewestAsked = 4;
+//! kUrgentMissingSlots, requests slots at the shorter
+//! kUrgentSlotRequestInterval.
+constexpr double kUrgentMissingRatio = 0.25;
+constexpr double kUrgentMissingSlots = 3;
+constexpr std::uint32_t kSlotsPerUpstreamRequest = 2;
+constexpr std::size_t kMinUpstreamsPerSlotRequest = 4;
 
 double
-Band(const SlotNeeds& aNeeds)
+DeadBand(const SlotNeeds& aNeeds)
 {
-  return std::max(kMinBandSlots, aNeeds.bandPart * aNeeds.entitled);
+  return std::max(kMinDeadBandSlots, aNeeds.deadBandRatio * aNeeds.entitled);
 }
 
 std::uint16_t
-UrgencyOf(const SlotNeeds& aNeeds, std::uint32_t aHeld)
+HeldPercent(const SlotNeeds& aNeeds, std::uint32_t aHeld)
 {
-  if (aNeeds.sparseWaiting) {
+  if (aNeeds.lightWaiting) {
     return 0;
   }
   if (aNeeds.entitled <= 0) {
-    return static_cast<std::uint16_t>(kMaxUrgency);
+    return static_cast<std::uint16_t>(kMaxHeldPercent);
   }
   return static_cast<std::uint16_t>(
-    std::min(kMaxUrgency, 100.0 * aHeld / aNeeds.entitled));
+    std::min(kMaxHeldPercent, 100.0 * aHeld / aNeeds.entitled));
 }
 
 }
@@ -55,8 +58,9 @@
     if (lease.owner != lent.owner) {
       lease.owner = lent.owner;
       lease.ownerBoot = 0;
-      lease.acked = 0;
-      lease.dirty = aTable.At(lent.upstream).limit > 0 || lease.extra > 0;
+      lease.appliedSequence = 0;
+      lease.dirty =
+        aTable.At(lent.upstream).limit > 0 || lease.requestedExtra > 0;
     }
   }
   //! NOTE sorted by owner, so that one round of requests reaches few owners.
@@ -75,11 +79,11 @@
 }
 
 void
-SlotBorrower::TakeGrant(RouterId aOwner,
-                        std::uint32_t aOwnerBoot,
-                        const SlotGrant& aGrant,
-                        SlotTable& aTable,
-                        TimePoint aNow)
+SlotBorrower::HandleGrant(RouterId aOwner,
+                          std::uint32_t aOwnerBoot,
+                          const SlotGrant& aGrant,
+                          SlotTable& aTable,
+                          TimePoint aNow)
 {
   const auto found = m_leases.find(aGrant.upstream);
   if (found == m_leases.end() || found->second.owner != aOwner) {
@@ -88,22 +92,22 @@
   Lease& lease = found->second;
   if (lease.ownerBoot != aOwnerBoot) {
     lease.ownerBoot = aOwnerBoot;
-    lease.acked = 0;
+    lease.appliedSequence = 0;
   }
-  if (aGrant.sequence < lease.acked) {
+  if (aGrant.sequence < lease.appliedSequence) {
     return;
   }
   lease.renewed = aNow;
   lease.wantedBack =
     std::max<std::uint32_t>(lease.wantedBack, aGrant.wantedBack);
-  if (aGrant.sequence == lease.acked) {
+  if (aGrant.sequence == lease.appliedSequence) {
     return;
   }
   auto& slot = aTable.At(aGrant.upstream);
   const auto raised =
     aGrant.granted > slot.limit ? aGrant.granted - slot.limit : 0;
-  lease.extra -= std::min(lease.extra, raised);
-  lease.acked = aGrant.sequence;
+  lease.requestedExtra -= std::min(lease.requestedExtra, raised);
+  lease.appliedSequence = aGrant.sequence;
   //! NOTE only a lowered grant is acknowledged at once, because the owner waits
   //! for it; other grants are acknowledged with the next report.
   lease.dirty = lease.dirty || aGrant.granted < slot.limit;
@@ -111,19 +115,19 @@
 }
 
 std::uint32_t
-SlotBorrower::DropLapsed(SlotTable& aTable, TimePoint aNow, Duration aExpiry)
+SlotBorrower::DropExpired(SlotTable& aTable, TimePoint aNow, Duration aExpiry)
 {
-  std::uint32_t lapsed = 0;
+  std::uint32_t expired = 0;
   for (auto& [upstream, lease] : m_leases) {
     auto& slot = aTable.At(upstream);
     if (slot.limit > 0 && aNow - lease.renewed > aExpiry) {
-      lapsed += slot.limit;
+      expired += slot.limit;
       slot.limit = 0;
-      lease.acked = 0;
+      lease.appliedSequence = 0;
       lease.dirty = true;
     }
   }
-  return lapsed;
+  return expired;
 }
 
 void
@@ -134,35 +138,36 @@
 {
   ReturnIdle(aNeeds, aTable);
   const auto held = aTable.TotalLimit();
-  m_urgency = UrgencyOf(aNeeds, held);
+  m_heldPercent = HeldPercent(aNeeds, held);
   const double missing = aNeeds.entitled - held;
-  std::uint32_t ask = 0;
-  if (aNeeds.queued > 0 && missing >= Band(aNeeds)) {
-    ask =
+  std::uint32_t requestCount = 0;
+  if (aNeeds.queued > 0 && missing >= DeadBand(aNeeds)) {
+    requestCount =
       std::min(aNeeds.queued, static_cast<std::uint32_t>(std::ceil(missing)));
   }
-  const bool onlyHinted = ask == 0;
-  if (onlyHinted && aNeeds.queued > 0 && !aHints.empty()) {
-    ask = aNeeds.queued;
+  const bool hintedOnly = requestCount == 0;
+  if (hintedOnly && aNeeds.queued > 0 && !aHints.empty()) {
+    requestCount = aNeeds.queued;
   }
-  if (ask == 0) {
+  if (requestCount == 0) {
     return;
   }
-  if (aNow - m_askedAt >= AskPeriod(aNeeds, missing)) {
-    ForgetAsks();
-    Ask(ask, aHints, onlyHinted, aTable, aNow);
+  if (aNow - m_lastRequestAt >= RequestInterval(aNeeds, missing)) {
+    ClearRequests();
+    RequestSlots(requestCount, aHints, hintedOnly, aTable, aNow);
   }
 }
 
 Duration
-SlotBorrower::AskPeriod(const SlotNeeds& aNeeds, double aMissing)
+SlotBorrower::RequestInterval(const SlotNeeds& aNeeds, double aMissing)
 {
   if (!aNeeds.contended) {
-    return kFreeAskPeriod;
+    return kUncontendedSlotRequestInterval;
   }
-  const bool many =
-    aMissing > std::max(kUrgentSlots, kUrgentPart * aNeeds.entitled);
-  return many ? kUrgentAskPeriod : kAskPeriod;
+  const bool manyMissing =
+    aMissing >
+    std::max(kUrgentMissingSlots, kUrgentMissingRatio * aNeeds.entitled);
+  return manyMissing ? kUrgentSlotRequestInterval : kSlotRequestInterval;
 }
 
 void
@@ -172,7 +177,7 @@
     return;
   }
   const auto keep =
-    static_cast<std::uint32_t>(std::ceil(aNeeds.entitled + Band(aNeeds)));
+    static_cast<std::uint32_t>(std::ceil(aNeeds.entitled + DeadBand(aNeeds)));
   for (auto& [upstream, lease] : m_leases) {
     const auto idle = aTable.At(upstream).Free();
     const auto held = aTable.TotalLimit();
@@ -202,16 +207,16 @@
 }
 
 void
-SlotBorrower::SlotFreed(UpstreamId aUpstream,
-                        const SlotNeeds& aNeeds,
-                        SlotTable& aTable)
+SlotBorrower::OnSlotFreed(UpstreamId aUpstream,
+                          const SlotNeeds& aNeeds,
+                          SlotTable& aTable)
 {
   const auto found = m_leases.find(aUpstream);
   if (found == m_leases.end() || found->second.wantedBack == 0) {
     return;
   }
   const double held = aTable.TotalLimit();
-  const bool surplus = held >= aNeeds.entitled + Band(aNeeds);
+  const bool surplus = held >= aNeeds.entitled + DeadBand(aNeeds);
   if (aNeeds.queued == 0 || surplus) {
     ReturnUpTo(aUpstream, std::min(1U, aTable.At(aUpstream).Free()), aTable);
   }
@@ -220,19 +225,19 @@
 void
 SlotBorrower::ReturnAll(SlotTable& aTable)
 {
-  ForgetAsks();
+  ClearRequests();
   for (auto& [upstream, lease] : m_leases) {
     ReturnUpTo(upstream, aTable.At(upstream).Free(), aTable);
   }
 }
 
 //! NOTE owners drop a request for slots that is not repeated; withdrawing it
-//! would cost as many messages as sending it.
+//! would cost as manyMissing messages as sending it.
 void
-SlotBorrower::ForgetAsks()
+SlotBorrower::ClearRequests()
 {
   for (auto& [upstream, lease] : m_leases) {
-    lease.extra = 0;
+    lease.requestedExtra = 0;
   }
 }
 
@@ -240,15 +245,16 @@
 //! slots, then the others in rotation, so that repeated requests reach more
 //! upstreams.
 void
-SlotBorrower::Ask(std::uint32_t aCount,
-                  const std::vector<FreeHint>& aHints,
-                  bool aOnlyHinted,
-                  const SlotTable& aTable,
-                  TimePoint aNow)
+SlotBorrower::RequestSlots(std::uint32_t aCount,
+                           const std::vector<FreeHint>& aHints,
+                           bool aHintedOnly,
+                           const SlotTable& aTable,
+                           TimePoint aNow)
 {
-  m_askedAt = aNow;
-  const auto width =
-    std::clamp<std::size_t>(aCount / kSlotsPerAsk, kFewestAsked, kMaxAskWidth);
+  m_lastRequestAt = aNow;
+  const auto width = std::clamp<std::size_t>(aCount / kSlotsPerUpstreamRequest,
+                                             kMinUpstreamsPerSlotRequest,
+                                             kMaxUpstreamsPerSlotRequest);
   std::set<RouterId> owners;
   std::vector<UpstreamId> chosen;
   const auto choose = [&](UpstreamId aUpstream) {
@@ -262,7 +268,7 @@
       return;
     }
     const auto owner = found->second.owner;
-    if (owners.contains(owner) || owners.size() < kAskOwners) {
+    if (owners.contains(owner) || owners.size() < kMaxOwnersPerSlotRequest) {
       owners.insert(owner);
       chosen.push_back(aUpstream);
     }
@@ -270,11 +276,11 @@
   for (const auto& hint : aHints) {
     choose(hint.upstream);
   }
-  for (std::size_t i = 0; !aOnlyHinted && i < m_rotation.size(); ++i) {
+  for (std::size_t i = 0; !aHintedOnly && i < m_rotation.size(); ++i) {
     if (chosen.size() == width) {
       break;
     }
-    choose(m_rotation[m_next++ % m_rotation.size()]);
+    choose(m_rotation[m_nextInRotation++ % m_rotation.size()]);
   }
   if (chosen.empty()) {
     return;
@@ -283,36 +289,36 @@
     static_cast<std::uint32_t>((aCount + chosen.size() - 1) / chosen.size());
   for (const auto upstream : chosen) {
     Lease& lease = m_leases[upstream];
-    lease.extra = std::min(each, lease.capacity);
+    lease.requestedExtra = std::min(each, lease.capacity);
     lease.dirty = true;
   }
 }
 
 SlotReport
-SlotBorrower::ReportOf(UpstreamId aUpstream,
-                       const Lease& aLease,
-                       const SlotTable& aTable) const
+SlotBorrower::MakeReport(UpstreamId aUpstream,
+                         const Lease& aLease,
+                         const SlotTable& aTable) const
 {
   const auto found = aTable.All().find(aUpstream);
   const auto slot =
     found == aTable.All().end() ? SlotTable::Slot{} : found->second;
   return { aUpstream,
            aLease.ownerBoot,
-           aLease.acked,
+           aLease.appliedSequence,
            static_cast<std::uint16_t>(slot.limit),
            static_cast<std::uint16_t>(slot.inUse),
-           static_cast<std::uint16_t>(slot.limit + aLease.extra),
-           m_urgency };
+           static_cast<std::uint16_t>(slot.limit + aLease.requestedExtra),
+           m_heldPercent };
 }
 
 std::vector<SlotBorrower::Addressed>
-SlotBorrower::TakeReports(const SlotTable& aTable)
+SlotBorrower::TakePendingReports(const SlotTable& aTable)
 {
   std::vector<Addressed> reports;
   for (auto& [upstream, lease] : m_leases) {
     if (lease.dirty) {
       lease.dirty = false;
-      reports.emplace_back(lease.owner, ReportOf(upstream, lease, aTable));
+      reports.emplace_back(lease.owner, MakeReport(upstream, lease, aTable));
     }
   }
   return reports;
@@ -325,8 +331,8 @@
   for (const auto& [upstream, lease] : m_leases) {
     const auto slot = aTable.All().find(upstream);
     const bool holds = slot != aTable.All().end() && slot->second.limit > 0;
-    if (lease.owner == aOwner && (holds || lease.extra > 0)) {
-      reports.push_back(ReportOf(upstream, lease, aTable));
+    if (lease.owner == aOwner && (holds || lease.requestedExtra > 0)) {
+      reports.push_back(MakeReport(upstream, lease, aTable));
     }
   }
   return reports;
--- a/src/decision/internal/slotflow.cpp
+++ b/src/decision/internal/slotflow.cpp
@@ -11,14 +11,14 @@
 
 //! Exchanges of reports and grants within one step, for slots that this router
 //! both owns and borrows.
-constexpr int kLocalRounds = 3;
+constexpr int kLocalExchanges = 3;
 
 }
 
 void
-SlotFlow::Take(const LoadReported& aEvent)
+SlotFlow::Handle(const LoadReported& aEvent)
 {
-  m_state.owner.TakeLoad(aEvent.upstream, aEvent.running, SidePart());
+  m_state.slotOwner.HandleLoad(aEvent.upstream, aEvent.running, AliveRatio());
   for (auto& [id, pool] : m_state.pools) {
     const auto* lent = pool.FindUpstream(aEvent.upstream);
     if (lent != nullptr &&
@@ -31,29 +31,29 @@
 //! Ratio of the known routers that are alive, as seen from here: the size of
 //! this side of a partition.
 double
-SlotFlow::SidePart() const
+SlotFlow::AliveRatio() const
 {
   const auto alive = static_cast<double>(m_state.membership.AliveCount());
   return alive / static_cast<double>(m_state.membership.KnownCount());
 }
 
 void
-SlotFlow::TakeReports(RouterId aFrom, const std::vector<SlotReport>& aReports)
+SlotFlow::HandleReports(RouterId aFrom, const std::vector<SlotReport>& aReports)
 {
   for (const auto& report : aReports) {
-    m_state.owner.TakeReport(aFrom, report, m_state.now);
+    m_state.slotOwner.HandleReport(aFrom, report, m_state.now);
   }
 }
 
 void
-SlotFlow::TakeGrants(RouterId aFrom,
-                     std::uint32_t aBoot,
-                     const std::vector<SlotGrant>& aGrants)
+SlotFlow::HandleGrants(RouterId aFrom,
+                       std::uint32_t aBoot,
+                       const std::vector<SlotGrant>& aGrants)
 {
   for (auto& [id, pool] : m_state.pools) {
     if (auto* lease = std::get_if<LeasePolicy>(&pool.Policy())) {
       for (const auto& grant : aGrants) {
-        lease->borrower.TakeGrant(
+        lease->borrower.HandleGrant(
           aFrom, aBoot, grant, pool.Slots(), m_state.now);
       }
     }
@@ -61,7 +61,7 @@
 }
 
 void
-SlotFlow::TakeHints(RouterId aFrom, const std::vector<FreeHint>& aHints)
+SlotFlow::HandleHints(RouterId aFrom, const std::vector<FreeHint>& aHints)
 {
   m_hints[aFrom] = aHints;
 }
@@ -69,16 +69,17 @@
 std::vector<FreeHint>
 SlotFlow::HintsFor(RouterId aNeighbour) const
 {
-  auto hints = m_state.owner.FreeSlots();
+  auto hints = m_state.slotOwner.FreeSlots();
   const auto isNeighbour = [&](RouterId aRouter) {
-    const auto& place = m_state.membership.Place();
-    return place.parent == aRouter ||
-           std::find(place.children.begin(), place.children.end(), aRouter) !=
-             place.children.end();
+    const auto& position = m_state.membership.Position();
+    return position.parent == aRouter ||
+           std::find(position.children.begin(),
+                     position.children.end(),
+                     aRouter) != position.children.end();
   };
-  for (const auto& [router, told] : m_hints) {
+  for (const auto& [router, announced] : m_hints) {
     if (router != aNeighbour && isNeighbour(router)) {
-      hints.insert(hints.end(), told.begin(), told.end());
+      hints.insert(hints.end(), announced.begin(), announced.end());
     }
   }
   std::sort(
@@ -93,7 +94,7 @@
 SlotFlow::RefreshShares()
 {
   for (auto& [id, pool] : m_state.pools) {
-    pool.RefreshShares(m_state.view, m_state.now);
+    pool.RefreshShares(m_state.fleetView, m_state.now);
   }
 }
 
@@ -105,14 +106,14 @@
   }
   const auto version = m_state.membership.Version();
   const bool joined = HasJoined();
-  if (!m_state.poolsStale && version == m_membershipSeen &&
+  if (!m_state.poolsStale && version == m_membershipVersion &&
       joined == m_joined) {
     return;
   }
   m_joined = joined;
   m_state.poolsStale = false;
-  m_membershipSeen = version;
-  m_state.view.SetPlace(m_state.membership.Place());
+  m_membershipVersion = version;
+  m_state.fleetView.SetPosition(m_state.membership.Position());
   RebuildPools();
   RebuildOwned();
 }
@@ -143,7 +144,7 @@
       }
     }
     pool.SetUpstreams(
-      std::move(lent), RankHere(), m_state.membership.AliveCount());
+      std::move(lent), OwnRank(), m_state.membership.AliveCount());
   }
 }
 
@@ -163,11 +164,11 @@
     });
   const bool listed = !m_state.hosts.Upstreams().empty();
   return (listed && !others) ||
-         m_state.now - m_startedAt.value_or(m_state.now) >= kJoinWait;
+         m_state.now - m_startedAt.value_or(m_state.now) >= kJoinTimeout;
 }
 
 std::size_t
-SlotFlow::RankHere() const
+SlotFlow::OwnRank() const
 {
   std::size_t rank = 0;
   for (const auto& [router, member] : m_state.membership.Others()) {
@@ -187,10 +188,10 @@
       }
     }
   }
-  m_state.owner.SetOwned(owned, m_state.now);
+  m_state.slotOwner.SetOwned(owned, m_state.now);
   for (const auto& [router, member] : m_state.membership.Others()) {
     if (member.state != MemberState::Alive) {
-      m_state.owner.ForgetRouter(router);
+      m_state.slotOwner.ForgetRouter(router);
       m_hints.erase(router);
     }
   }
@@ -204,23 +205,24 @@
       ReviewBorrower(pool, lease->borrower);
     }
   }
-  for (int i = 0; i < kLocalRounds; ++i) {
+  for (int i = 0; i < kLocalExchanges; ++i) {
     DeliverReports();
-    m_state.owner.Review(m_state.now, m_state.LeaseExpiry());
+    m_state.slotOwner.Review(m_state.now, m_state.LeaseExpiry());
     DeliverGrants();
   }
   DeliverReports();
-  m_state.Expect(m_state.owner.GrantsRaisedBeyondCapacity() == 0,
-                 "slots granted beyond the capacity of an upstream");
+  m_state.CheckInvariant(m_state.slotOwner.GrantsBeyondCapacity() == 0,
+                         "slots granted beyond the capacity of an upstream");
 }
 
 void
 SlotFlow::ReviewBorrower(Pool& aPool, SlotBorrower& aBorrower)
 {
-  const auto lapsed =
-    aBorrower.DropLapsed(aPool.Slots(), m_state.now, m_state.LeaseExpiry());
-  if (lapsed > 0) {
-    m_state.Note(DecisionKind::SlotsLapsed, "slots=" + std::to_string(lapsed));
+  const auto expired =
+    aBorrower.DropExpired(aPool.Slots(), m_state.now, m_state.LeaseExpiry());
+  if (expired > 0) {
+    m_state.Record(DecisionKind::SlotsLapsed,
+                   "slots=" + std::to_string(expired));
   }
   if (m_state.draining) {
     aBorrower.ReturnAll(aPool.Slots());
@@ -239,12 +241,12 @@
       continue;
     }
     for (const auto& [owner, report] :
-         lease->borrower.TakeReports(pool.Slots())) {
+         lease->borrower.TakePendingReports(pool.Slots())) {
       if (owner == m_state.self) {
-        m_state.owner.TakeReport(m_state.self, report, m_state.now);
+        m_state.slotOwner.HandleReport(m_state.self, report, m_state.now);
         continue;
       }
-      PutReport(owner, report);
+      QueueReport(owner, report);
     }
   }
 }
@@ -252,20 +254,20 @@
 void
 SlotFlow::DeliverGrants()
 {
-  for (const auto& [borrower, grant] : m_state.owner.TakeGrants()) {
+  for (const auto& [borrower, grant] : m_state.slotOwner.TakePendingGrants()) {
     if (borrower == m_state.self) {
-      TakeGrants(m_state.self, m_state.settings.incarnation, { grant });
+      HandleGrants(m_state.self, m_state.settings.incarnation, { grant });
       continue;
     }
-    PutGrant(borrower, grant);
+    QueueGrant(borrower, grant);
   }
 }
 
 //! Queues a report; it replaces a pending one for the same upstream.
 void
-SlotFlow::PutReport(RouterId aOwner, const SlotReport& aReport)
+SlotFlow::QueueReport(RouterId aOwner, const SlotReport& aReport)
 {
-  auto& reports = m_state.outbox.For(aOwner).reports;
+  auto& reports = m_state.outbox.FrameFor(aOwner).reports;
   std::erase_if(reports, [&](const SlotReport& aOne) {
     return aOne.upstream == aReport.upstream;
   });
@@ -275,9 +277,9 @@
 //! Queues a grant; it replaces a pending one for the same upstream, except that
 //! the higher number of slots to return is kept.
 void
-SlotFlow::PutGrant(RouterId aBorrower, const SlotGrant& aGrant)
+SlotFlow::QueueGrant(RouterId aBorrower, const SlotGrant& aGrant)
 {
-  auto& grants = m_state.outbox.For(aBorrower).grants;
+  auto& grants = m_state.outbox.FrameFor(aBorrower).grants;
   auto wantedBack = aGrant.wantedBack;
   std::erase_if(grants, [&](const SlotGrant& aOne) {
     const bool same = aOne.upstream == aGrant.upstream;
@@ -289,7 +291,7 @@
 }
 
 void
-SlotFlow::Renew()
+SlotFlow::RenewLeases()
 {
   for (auto& [id, pool] : m_state.pools) {
     auto* lease = std::get_if<LeasePolicy>(&pool.Policy());
@@ -302,25 +304,25 @@
         continue;
       }
       if (owner == m_state.self) {
-        TakeReports(m_state.self, reports);
+        HandleReports(m_state.self, reports);
         continue;
       }
       for (const auto& report : reports) {
-        PutReport(owner, report);
+        QueueReport(owner, report);
       }
     }
   }
-  for (const auto borrower : m_state.owner.Borrowers()) {
-    const auto grants = m_state.owner.Renewals(borrower);
+  for (const auto borrower : m_state.slotOwner.Borrowers()) {
+    const auto grants = m_state.slotOwner.Renewals(borrower);
     if (grants.empty()) {
       continue;
     }
     if (borrower == m_state.self) {
-      TakeGrants(m_state.self, m_state.settings.incarnation, grants);
+      HandleGrants(m_state.self, m_state.settings.incarnation, grants);
       continue;
     }
     for (const auto& grant : grants) {
-      PutGrant(borrower, grant);
+      QueueGrant(borrower, grant);
     }
   }
 }
@@ -333,7 +335,7 @@
     for (const auto& lent : pool.Upstreams()) {
       const auto* host = m_state.hosts.FindUpstream(lent.upstream);
       if (all || lent.owner == m_state.self) {
-        m_state.Act(PollLoad{ lent.upstream, host->address });
+        m_state.AddAction(PollLoad{ lent.upstream, host->address });
       }
     }
   }
--- a/src/decision/internal/slotflow.h
+++ b/src/decision/internal/slotflow.h
@@ -16,12 +16,12 @@
   {
   }
 
-  void Take(const LoadReported& aEvent);
-  void TakeReports(RouterId aFrom, const std::vector<SlotReport>& aReports);
-  void TakeGrants(RouterId aFrom,
-                  std::uint32_t aBoot,
-                  const std::vector<SlotGrant>& aGrants);
-  void TakeHints(RouterId aFrom, const std::vector<FreeHint>& aHints);
+  void Handle(const LoadReported& aEvent);
+  void HandleReports(RouterId aFrom, const std::vector<SlotReport>& aReports);
+  void HandleGrants(RouterId aFrom,
+                    std::uint32_t aBoot,
+                    const std::vector<SlotGrant>& aGrants);
+  void HandleHints(RouterId aFrom, const std::vector<FreeHint>& aHints);
   void RefreshShares();
   //! Rebuilds the pools after a change of documents, hosts or members.
   void RebuildIfStale();
@@ -29,7 +29,7 @@
   //! for other routers.
   void Review();
   //! Queues the messages that renew all leases.
-  void Renew();
+  void RenewLeases();
   void PollLoads();
   //! Returns the free slots to announce to a neighbour: those owned here and
   //! those announced by the other neighbours, at most kMaxHints.
@@ -39,17 +39,17 @@
   void RebuildPools();
   void RebuildOwned();
   void ReviewBorrower(Pool& aPool, SlotBorrower& aBorrower);
-  void PutReport(RouterId aOwner, const SlotReport& aReport);
-  void PutGrant(RouterId aBorrower, const SlotGrant& aGrant);
+  void QueueReport(RouterId aOwner, const SlotReport& aReport);
+  void QueueGrant(RouterId aBorrower, const SlotGrant& aGrant);
   void DeliverReports();
   void DeliverGrants();
   bool HasJoined() const;
-  std::size_t RankHere() const;
-  double SidePart() const;
+  std::size_t OwnRank() const;
+  double AliveRatio() const;
 
   CoreState& m_state;
   std::map<RouterId, std::vector<FreeHint>> m_hints;
-  std::uint64_t m_membershipSeen = 0;
+  std::uint64_t m_membershipVersion = 0;
   bool m_joined = false;
   std::optional<TimePoint> m_startedAt;
 };
--- a/src/decision/internal/slotowner.cpp
+++ b/src/decision/internal/slotowner.cpp
@@ -12,15 +12,15 @@
 
 //! A borrower that uses all its slots is asked to return some only if another
 //! one holds a lower percentage of its entitlement, by more than this.
-constexpr std::uint32_t kPressureBandPercent = 10;
-constexpr std::uint32_t kFullPart = 100;
+constexpr std::uint32_t kReturnBandPercent = 10;
+constexpr std::uint32_t kFullPercent = 100;
 
 }
 
 std::uint32_t
 SlotOwner::Lease::Committed() const
 {
-  return std::max(granted, heldSeen);
+  return std::max(granted, reportedHeld);
 }
 
 //! Changes the grant under a new sequence if the current one was already sent:
@@ -28,7 +28,7 @@
 void
 SlotOwner::Lease::Change(std::uint32_t aGranted, std::uint32_t& aLastSequence)
 {
-  if (sequence == told) {
+  if (sequence == sentSequence) {
     sequence = ++aLastSequence;
   }
   granted = aGranted;
@@ -36,7 +36,7 @@
 }
 
 std::uint32_t
-SlotOwner::Book::Committed() const
+SlotOwner::OwnedUpstream::Committed() const
 {
   std::uint32_t total = 0;
   for (const auto& [router, lease] : leases) {
@@ -46,11 +46,11 @@
 }
 
 std::uint32_t
-SlotOwner::Book::Usable() const
+SlotOwner::OwnedUpstream::Usable() const
 {
   const auto floor = static_cast<std::uint32_t>(
-    std::ceil(static_cast<double>(capacity) * sidePart));
-  const auto left = capacity > foreign ? capacity - foreign : 0;
+    std::ceil(static_cast<double>(capacity) * aliveRatio));
+  const auto left = capacity > foreignRunning ? capacity - foreignRunning : 0;
   return std::min(capacity, std::max(left, floor));
 }
 
@@ -58,37 +58,38 @@
 SlotOwner::SetOwned(const std::map<UpstreamId, std::uint32_t>& aCapacities,
                     TimePoint aNow)
 {
-  std::erase_if(m_books, [&](const auto& aOne) {
+  std::erase_if(m_upstreams, [&](const auto& aOne) {
     return !aCapacities.contains(aOne.first);
   });
   for (const auto& [upstream, capacity] : aCapacities) {
-    const auto [at, isNew] = m_books.try_emplace(upstream);
+    const auto [at, isNew] = m_upstreams.try_emplace(upstream);
     at->second.capacity = capacity;
     if (isNew) {
-      at->second.claimsUntil = aNow + kClaimWindow;
+      at->second.claimWindowEnd = aNow + kClaimWindow;
     }
   }
 }
 
 void
-SlotOwner::TakeReport(RouterId aBorrower,
-                      const SlotReport& aReport,
-                      TimePoint aNow)
+SlotOwner::HandleReport(RouterId aBorrower,
+                        const SlotReport& aReport,
+                        TimePoint aNow)
 {
-  const auto found = m_books.find(aReport.upstream);
-  if (found == m_books.end()) {
+  const auto found = m_upstreams.find(aReport.upstream);
+  if (found == m_upstreams.end()) {
     return;
   }
   //! NOTE an acknowledgement of a grant from before a restart of this router
   //! does not count: sequences are reused after a restart.
-  const bool seen = aReport.ownerBoot == m_boot;
-  const auto acked = seen ? aReport.ackedGrant : 0;
-  Book& book = found->second;
-  Lease& lease = book.leases[aBorrower];
+  const bool isCurrentRun = aReport.ownerBoot == m_boot;
+  const auto acked = isCurrentRun ? aReport.ackedGrant : 0;
+  OwnedUpstream& owned = found->second;
+  Lease& lease = owned.leases[aBorrower];
   const bool claim = lease.sequence == 0;
   if (claim) {
-    const auto committed = book.Committed();
-    const auto left = book.capacity > committed ? book.capacity - committed : 0;
+    const auto committed = owned.Committed();
+    const auto left =
+      owned.capacity > committed ? owned.capacity - committed : 0;
     lease.Change(std::min<std::uint32_t>(aReport.held, left), m_lastSequence);
   } else if (acked == lease.sequence) {
     //! NOTE if the borrower holds more than granted, it has applied a duplicate
@@ -100,74 +101,75 @@
   } else {
     lease.dirty = true;
   }
-  lease.heldSeen = aReport.held;
+  lease.reportedHeld = aReport.held;
   lease.inUse = aReport.inUse;
   lease.want = aReport.want;
-  lease.askedAt = aNow;
+  lease.wantReportedAt = aNow;
   lease.urgency = aReport.urgency;
-  lease.heard = aNow;
+  lease.lastReportAt = aNow;
 }
 
 void
-SlotOwner::TakeLoad(UpstreamId aUpstream,
-                    std::uint32_t aRunning,
-                    double aSidePart)
+SlotOwner::HandleLoad(UpstreamId aUpstream,
+                      std::uint32_t aRunning,
+                      double aAliveRatio)
 {
-  const auto found = m_books.find(aUpstream);
-  if (found == m_books.end()) {
+  const auto found = m_upstreams.find(aUpstream);
+  if (found == m_upstreams.end()) {
     return;
   }
-  Book& book = found->second;
+  OwnedUpstream& owned = found->second;
   //! NOTE load reports lag behind the grants, so the lower one of two
   //! consecutive reports counts.
-  const auto lent = book.Committed();
+  const auto lent = owned.Committed();
   const auto overdraft = static_cast<std::uint32_t>(
-    std::ceil(static_cast<double>(book.capacity) * kOverdraftPart));
-  const auto known = lent + overdraft;
-  book.foreignSeen[1] = book.foreignSeen[0];
-  book.foreignSeen[0] = aRunning > known ? aRunning - known : 0;
-  book.foreign = std::min(book.foreignSeen[0], book.foreignSeen[1]);
-  book.sidePart = aSidePart;
+    std::ceil(static_cast<double>(owned.capacity) * kOverdraftRatio));
+  const auto expected = lent + overdraft;
+  owned.foreignReports[1] = owned.foreignReports[0];
+  owned.foreignReports[0] = aRunning > expected ? aRunning - expected : 0;
+  owned.foreignRunning =
+    std::min(owned.foreignReports[0], owned.foreignReports[1]);
+  owned.aliveRatio = aAliveRatio;
   if (aRunning == 0) {
-    book.claimsUntil = {};
+    owned.claimWindowEnd = {};
   }
 }
 
 void
 SlotOwner::ForgetRouter(RouterId aRouter)
 {
-  for (auto& [upstream, book] : m_books) {
-    book.leases.erase(aRouter);
+  for (auto& [upstream, owned] : m_upstreams) {
+    owned.leases.erase(aRouter);
   }
 }
 
 void
 SlotOwner::Review(TimePoint aNow, Duration aExpiry)
 {
-  for (auto& [upstream, book] : m_books) {
-    std::erase_if(book.leases, [&](const auto& aOne) {
-      return aNow - aOne.second.heard > aExpiry;
+  for (auto& [upstream, owned] : m_upstreams) {
+    std::erase_if(owned.leases, [&](const auto& aOne) {
+      return aNow - aOne.second.lastReportAt > aExpiry;
     });
-    for (auto& [router, lease] : book.leases) {
-      const bool old = aNow - lease.askedAt > kAskExpiry;
-      lease.want = old ? std::min(lease.want, lease.heldSeen) : lease.want;
+    for (auto& [router, lease] : owned.leases) {
+      const bool old = aNow - lease.wantReportedAt > kSlotRequestExpiry;
+      lease.want = old ? std::min(lease.want, lease.reportedHeld) : lease.want;
     }
-    TakeBack(book);
-    if (aNow >= book.claimsUntil) {
-      HandOut(book);
+    ReduceGrants(owned);
+    if (aNow >= owned.claimWindowEnd) {
+      GrantFreeSlots(owned);
     }
-    MarkPressure(book, aNow);
+    RequestReturns(owned, aNow);
   }
 }
 
 //! Grants free slots one by one, each to the borrower that wants more and holds
 //! the lowest percentage of its entitlement.
 void
-SlotOwner::HandOut(Book& aBook)
+SlotOwner::GrantFreeSlots(OwnedUpstream& aOwned)
 {
-  while (aBook.Committed() < aBook.Usable()) {
+  while (aOwned.Committed() < aOwned.Usable()) {
     Lease* neediest = nullptr;
-    for (auto& [router, lease] : aBook.leases) {
+    for (auto& [router, lease] : aOwned.leases) {
       const bool wants = lease.want > lease.Committed();
       if (wants && (neediest == nullptr || lease.urgency < neediest->urgency)) {
         neediest = &lease;
@@ -177,8 +179,8 @@
       return;
     }
     neediest->Change(neediest->Committed() + 1, m_lastSequence);
-    if (aBook.Committed() > aBook.capacity) {
-      m_badRaises++;
+    if (aOwned.Committed() > aOwned.capacity) {
+      m_grantsBeyondCapacity++;
     }
     neediest->urgency += 100 / std::max(1U, neediest->granted);
   }
@@ -187,16 +189,16 @@
 //! Reduces grants beyond the usable slots one by one, each at the borrower that
 //! holds the highest percentage of its entitlement.
 void
-SlotOwner::TakeBack(Book& aBook)
+SlotOwner::ReduceGrants(OwnedUpstream& aOwned)
 {
   std::uint32_t granted = 0;
-  for (const auto& [router, lease] : aBook.leases) {
+  for (const auto& [router, lease] : aOwned.leases) {
     granted += lease.granted;
   }
-  const auto usable = aBook.Usable();
+  const auto usable = aOwned.Usable();
   while (granted > usable) {
     Lease* fullest = nullptr;
-    for (auto& [router, lease] : aBook.leases) {
+    for (auto& [router, lease] : aOwned.leases) {
       const bool has = lease.granted > 0;
       if (has && (fullest == nullptr || lease.urgency > fullest->urgency)) {
         fullest = &lease;
@@ -214,60 +216,63 @@
 
 //! Asks borrowers to return as many slots as others wait for. Those that hold
 //! the highest percentage of their entitlement are asked first, and none again
-//! within kPressurePeriod, which leaves it time to answer.
+//! within kReturnRequestInterval, which leaves it time to answer.
 void
-SlotOwner::MarkPressure(Book& aBook, TimePoint aNow)
+SlotOwner::RequestReturns(OwnedUpstream& aOwned, TimePoint aNow)
 {
   std::uint32_t missing = 0;
-  std::uint32_t neediest = kFullPart;
-  for (const auto& [router, lease] : aBook.leases) {
+  std::uint32_t neediest = kFullPercent;
+  for (const auto& [router, lease] : aOwned.leases) {
     if (lease.want > lease.Committed()) {
       missing += lease.want - lease.Committed();
       neediest = std::min(neediest, lease.urgency);
     }
   }
-  std::vector<Lease*> givers;
-  for (auto& [router, lease] : aBook.leases) {
-    const bool asks = lease.want > lease.Committed();
+  std::vector<Lease*> candidates;
+  for (auto& [router, lease] : aOwned.leases) {
+    const bool wantsMore = lease.want > lease.Committed();
     const bool idle = lease.inUse < lease.granted;
-    const bool richer = lease.urgency > neediest + kPressureBandPercent;
-    if (lease.granted > 0 && !asks && (idle || richer)) {
-      givers.push_back(&lease);
+    const bool holdsMore = lease.urgency > neediest + kReturnBandPercent;
+    if (lease.granted > 0 && !wantsMore && (idle || holdsMore)) {
+      candidates.push_back(&lease);
     }
   }
-  std::sort(givers.begin(), givers.end(), [](auto* aLeft, auto* aRight) {
-    return aLeft->urgency > aRight->urgency;
-  });
-  for (auto* giver : givers) {
+  std::sort(
+    candidates.begin(), candidates.end(), [](auto* aLeft, auto* aRight) {
+      return aLeft->urgency > aRight->urgency;
+    });
+  for (auto* candidate : candidates) {
     if (missing == 0) {
       break;
     }
-    const auto idle = giver->granted - std::min(giver->granted, giver->inUse);
-    const auto surplus =
-      giver->urgency > kFullPart
-        ? giver->granted * (giver->urgency - kFullPart) / giver->urgency
-        : 0;
-    const auto back = std::min(missing, std::max({ idle, surplus, 1U }));
-    missing -= back;
-    if (aNow - giver->pressedAt >= kPressurePeriod) {
-      giver->pressedAt = aNow;
-      giver->wantedBack = back;
-      giver->dirty = true;
+    const auto idle =
+      candidate->granted - std::min(candidate->granted, candidate->inUse);
+    const auto surplus = candidate->urgency > kFullPercent
+                           ? candidate->granted *
+                               (candidate->urgency - kFullPercent) /
+                               candidate->urgency
+                           : 0;
+    const auto returnCount = std::min(missing, std::max({ idle, surplus, 1U }));
+    missing -= returnCount;
+    if (aNow - candidate->returnRequestedAt >= kReturnRequestInterval) {
+      candidate->returnRequestedAt = aNow;
+      candidate->wantedBack = returnCount;
+      candidate->dirty = true;
     }
   }
 }
 
 std::vector<SlotOwner::Addressed>
-SlotOwner::TakeGrants()
+SlotOwner::TakePendingGrants()
 {
   std::vector<Addressed> grants;
-  for (auto& [upstream, book] : m_books) {
-    for (auto& [router, lease] : book.leases) {
+  for (auto& [upstream, owned] : m_upstreams) {
+    for (auto& [router, lease] : owned.leases) {
       if (!lease.dirty) {
         continue;
       }
       lease.dirty = false;
-      lease.told = lease.sequence;
+      lease.sentSequence = lease.sequence;
       grants.push_back({ router,
                          { upstream,
                            lease.sequence,
@@ -283,11 +288,11 @@
 SlotOwner::Renewals(RouterId aBorrower)
 {
   std::vector<SlotGrant> grants;
-  for (auto& [upstream, book] : m_books) {
-    const auto found = book.leases.find(aBorrower);
-    if (found != book.leases.end() && found->second.sequence != 0) {
+  for (auto& [upstream, owned] : m_upstreams) {
+    const auto found = owned.leases.find(aBorrower);
+    if (found != owned.leases.end() && found->second.sequence != 0) {
       Lease& lease = found->second;
-      lease.told = lease.sequence;
+      lease.sentSequence = lease.sequence;
       grants.push_back({ upstream,
                          lease.sequence,
                          static_cast<std::uint16_t>(lease.granted),
@@ -301,8 +306,8 @@
 SlotOwner::Borrowers() const
 {
   std::set<RouterId> borrowers;
-  for (const auto& [upstream, book] : m_books) {
-    for (const auto& [router, lease] : book.leases) {
+  for (const auto& [upstream, owned] : m_upstreams) {
+    for (const auto& [router, lease] : owned.leases) {
       borrowers.insert(router);
     }
   }
@@ -313,9 +318,9 @@
 SlotOwner::FreeSlots() const
 {
   std::vector<FreeHint> hints;
-  for (const auto& [upstream, book] : m_books) {
-    const auto committed = book.Committed();
-    const auto usable = book.Usable();
+  for (const auto& [upstream, owned] : m_upstreams) {
+    const auto committed = owned.Committed();
+    const auto usable = owned.Usable();
     if (usable > committed) {
       hints.push_back(
         { upstream, static_cast<std::uint16_t>(usable - committed) });
--- a/src/decision/internal/slotowner.h
+++ b/src/decision/internal/slotowner.h
@@ -28,41 +28,43 @@
                 TimePoint aNow);
   //! Updates the lease of a borrower. Its first report is a claim: slots that
   //! it holds are granted as far as the capacity allows.
-  void TakeReport(RouterId aBorrower,
-                  const SlotReport& aReport,
-                  TimePoint aNow);
+  void HandleReport(RouterId aBorrower,
+                    const SlotReport& aReport,
+                    TimePoint aNow);
   //! Handles the number of requests that an upstream reports as running.
   //! Requests of routers that are not borrowers here (those on the other side
-  //! of a partition) reduce the usable slots, but not below the ratio aSidePart
-  //! of the capacity, so that neither side starves the other.
-  void TakeLoad(UpstreamId aUpstream, std::uint32_t aRunning, double aSidePart);
+  //! of a partition) reduce the usable slots, but not below the ratio
+  //! aAliveRatio of the capacity, so that neither side starves the other.
+  void HandleLoad(UpstreamId aUpstream,
+                  std::uint32_t aRunning,
+                  double aAliveRatio);
   void ForgetRouter(RouterId aRouter);
   //! Drops leases without a report for longer than aExpiry, reduces grants
   //! beyond the usable slots, and grants free slots after the claim window.
   void Review(TimePoint aNow, Duration aExpiry);
 
   //! Returns the changed grants to be sent and clears them.
-  std::vector<Addressed> TakeGrants();
+  std::vector<Addressed> TakePendingGrants();
   //! Returns all grants of one borrower, to renew its leases.
   std::vector<SlotGrant> Renewals(RouterId aBorrower);
   std::vector<RouterId> Borrowers() const;
   std::vector<FreeHint> FreeSlots() const;
   //! Counts violations of an invariant: stays 0.
-  std::uint64_t GrantsRaisedBeyondCapacity() const { return m_badRaises; }
+  std::uint64_t GrantsBeyondCapacity() const { return m_grantsBeyondCapacity; }
 
 private:
   struct Lease
   {
     std::uint32_t granted = 0;
-    std::uint32_t heldSeen = 0; //!< as last reported by the borrower
+    std::uint32_t reportedHeld = 0; //!< as last reported by the borrower
     std::uint32_t inUse = 0;
     std::uint32_t want = 0;
     std::uint32_t urgency = 100;
     std::uint32_t sequence = 0;
-    std::uint32_t told = 0; //!< last sequence that was sent
-    TimePoint heard{};      //!< time of the last report
-    TimePoint pressedAt{};  //!< when slots were last requested back
-    TimePoint askedAt{};    //!< when want was last reported
+    std::uint32_t sentSequence = 0; //!< last sequence that was sent
+    TimePoint lastReportAt{};       //!< time of the last report
+    TimePoint returnRequestedAt{};  //!< when slots were last requested back
+    TimePoint wantReportedAt{};     //!< when want was last reported
     std::uint32_t wantedBack = 0;
     bool dirty = false; //!< the grant is to be sent
 
@@ -71,13 +73,15 @@
     void Change(std::uint32_t aGranted, std::uint32_t& aLastSequence);
   };
   //! The lending state of one owned upstream.
-  struct Book
+  struct OwnedUpstream
   {
     std::uint32_t capacity = 0;
-    std::uint32_t foreign = 0; //!< slots used by routers without a lease here
-    std::array<std::uint32_t, 2> foreignSeen{}; //!< the last two load reports
-    double sidePart = 1;
-    TimePoint claimsUntil{};
+    std::uint32_t foreignRunning =
+      0; //!< slots used by routers without a lease here
+    std::array<std::uint32_t, 2>
+      foreignReports{}; //!< the last two load reports
+    double aliveRatio = 1;
+    TimePoint claimWindowEnd{};
     std::map<RouterId, Lease> leases;
 
     std::uint32_t Committed() const;
@@ -85,16 +89,16 @@
     std::uint32_t Usable() const;
   };
 
-  void HandOut(Book& aBook);
-  void TakeBack(Book& aBook);
-  static void MarkPressure(Book& aBook, TimePoint aNow);
+  void GrantFreeSlots(OwnedUpstream& aOwned);
+  void ReduceGrants(OwnedUpstream& aOwned);
+  static void RequestReturns(OwnedUpstream& aOwned, TimePoint aNow);
 
   std::uint32_t m_boot;
-  std::map<UpstreamId, Book> m_books;
+  std::map<UpstreamId, OwnedUpstream> m_upstreams;
   //! NOTE shared by all leases: a lease that was dropped and is created again
   //! must not start below the sequence that its borrower has acknowledged.
   std::uint32_t m_lastSequence = 0;
-  std::uint64_t m_badRaises = 0;
+  std::uint64_t m_grantsBeyondCapacity = 0;
 };
 
 }
--- a/src/decision/internal/slottable.cpp
+++ b/src/decision/internal/slottable.cpp
@@ -23,7 +23,7 @@
 }
 
 std::optional<UpstreamId>
-SlotTable::MostFree(std::optional<UpstreamId> aExcluded) const
+SlotTable::FindMostFree(std::optional<UpstreamId> aExcluded) const
 {
   std::optional<UpstreamId> best;
   std::uint32_t bestFree = 0;
@@ -37,7 +37,7 @@
 }
 
 std::uint32_t
-SlotTable::Overdrafts() const
+SlotTable::OverdraftCount() const
 {
   std::uint32_t total = 0;
   for (const auto& [id, slot] : m_slots) {
@@ -47,7 +47,7 @@
 }
 
 std::optional<UpstreamId>
-SlotTable::BestOverdraft(std::optional<UpstreamId> aExcluded) const
+SlotTable::FindOverdraft(std::optional<UpstreamId> aExcluded) const
 {
   std::optional<UpstreamId> best;
   std::uint32_t bestLimit = 0;
--- a/src/decision/internal/slottable.h
+++ b/src/decision/internal/slottable.h
@@ -32,12 +32,13 @@
   std::uint32_t TotalLimit() const;
   std::uint32_t TotalInUse() const;
   //! Returns the open upstream with the most free slots, except aExcluded.
-  std::optional<UpstreamId> MostFree(std::optional<UpstreamId> aExcluded) const;
+  std::optional<UpstreamId> FindMostFree(
+    std::optional<UpstreamId> aExcluded) const;
   //! Returns the number of slots used beyond the limits.
-  std::uint32_t Overdrafts() const;
+  std::uint32_t OverdraftCount() const;
   //! Returns the open upstream to overdraw: the one with the highest limit
   //! among those without overdraft, except aExcluded.
-  std::optional<UpstreamId> BestOverdraft(
+  std::optional<UpstreamId> FindOverdraft(
     std::optional<UpstreamId> aExcluded) const;
 
 private:
--- a/src/decision/internal/upstreamhealth.cpp
+++ b/src/decision/internal/upstreamhealth.cpp
@@ -7,33 +7,34 @@
 namespace hemlockgauge::decision {
 
 bool
-UpstreamHealth::Failed(UpstreamId aUpstream,
-                       bool aBeforeRunning,
-                       TimePoint aNow,
-                       std::size_t aPoolSize,
-                       std::size_t aEjectedInPool)
+UpstreamHealth::RecordFailure(UpstreamId aUpstream,
+                              bool aBeforeRunning,
+                              TimePoint aNow,
+                              std::size_t aPoolSize,
+                              std::size_t aEjectedInPool)
 {
   Record& record = m_records[aUpstream];
-  record.failuresInRow++;
+  record.consecutiveFailures++;
   record.beforeRunning = aBeforeRunning;
   if (record.ejected) {
-    record.ejection = std::min(record.ejection * 2, kLongestEjection);
-    record.nextProbe = aNow + record.ejection;
+    record.ejectionTime = std::min(record.ejectionTime * 2, kMaxEjectionTime);
+    record.nextProbe = aNow + record.ejectionTime;
     return false;
   }
-  const auto most = kMaxEjectedPart * static_cast<double>(aPoolSize);
-  const bool belowFloor = static_cast<double>(aEjectedInPool + 1) > most;
-  if (record.failuresInRow < kFailuresToEject || belowFloor) {
+  const auto maxEjected = kMaxEjectedRatio * static_cast<double>(aPoolSize);
+  const bool tooManyEjected =
+    static_cast<double>(aEjectedInPool + 1) > maxEjected;
+  if (record.consecutiveFailures < kFailuresToEject || tooManyEjected) {
     return false;
   }
   record.ejected = true;
-  record.ejection = kFirstEjection;
-  record.nextProbe = aNow + record.ejection;
+  record.ejectionTime = kMinEjectionTime;
+  record.nextProbe = aNow + record.ejectionTime;
   return true;
 }
 
 bool
-UpstreamHealth::Succeeded(UpstreamId aUpstream)
+UpstreamHealth::RecordSuccess(UpstreamId aUpstream)
 {
   const auto found = m_records.find(aUpstream);
   if (found == m_records.end()) {
@@ -52,7 +53,7 @@
 }
 
 bool
-UpstreamHealth::FailedBeforeRunning(UpstreamId aUpstream) const
+UpstreamHealth::LastFailedBeforeRunning(UpstreamId aUpstream) const
 {
   const auto found = m_records.find(aUpstream);
   return found != m_records.end() && found->second.beforeRunning;
@@ -67,10 +68,10 @@
 }
 
 void
-UpstreamHealth::ProbeSent(UpstreamId aUpstream, TimePoint aNow)
+UpstreamHealth::RecordProbe(UpstreamId aUpstream, TimePoint aNow)
 {
   Record& record = m_records[aUpstream];
-  record.nextProbe = aNow + record.ejection;
+  record.nextProbe = aNow + record.ejectionTime;
 }
 
 }
--- a/src/decision/internal/upstreamhealth.h
+++ b/src/decision/internal/upstreamhealth.h
@@ -7,35 +7,35 @@
 namespace hemlockgauge::decision {
 
 //! Ejects an upstream after kFailuresToEject consecutive failures and readmits
-//! it when a single request, the probe, succeeds there. At most kMaxEjectedPart
-//! of a pool is ejected at a time.
+//! it when a single request, the probe, succeeds there. At most
+//! kMaxEjectedRatio of a pool is ejected at a time.
 class UpstreamHealth
 {
 public:
   //! Counts a failed attempt and returns true if it ejects the upstream.
   //! aBeforeRunning: the request did not run.
-  bool Failed(UpstreamId aUpstream,
-              bool aBeforeRunning,
-              TimePoint aNow,
-              std::size_t aPoolSize,
-              std::size_t aEjectedInPool);
+  bool RecordFailure(UpstreamId aUpstream,
+                     bool aBeforeRunning,
+                     TimePoint aNow,
+                     std::size_t aPoolSize,
+                     std::size_t aEjectedInPool);
   //! Resets the failures and returns true if this readmits the upstream.
-  bool Succeeded(UpstreamId aUpstream);
+  bool RecordSuccess(UpstreamId aUpstream);
   bool IsEjected(UpstreamId aUpstream) const;
   //! Whether the request of the last failure did not run.
-  bool FailedBeforeRunning(UpstreamId aUpstream) const;
+  bool LastFailedBeforeRunning(UpstreamId aUpstream) const;
   //! Whether a single request may probe an ejected upstream now.
   bool MayProbe(UpstreamId aUpstream, TimePoint aNow) const;
   //! Schedules the next probe.
-  void ProbeSent(UpstreamId aUpstream, TimePoint aNow);
+  void RecordProbe(UpstreamId aUpstream, TimePoint aNow);
 
 private:
   struct Record
   {
-    int failuresInRow = 0;
+    int consecutiveFailures = 0;
     bool ejected = false;
     bool beforeRunning = false;
-    Duration ejection{};
+    Duration ejectionTime{};
     TimePoint nextProbe{};
   };
   std::map<UpstreamId, Record> m_records;
--- a/src/decision/internal/workspacequeue.cpp
+++ b/src/decision/internal/workspacequeue.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMinWeight = 0.05;
-constexpr double kCostSmoothing = 0.1;
+constexpr double kServiceTimeGain = 0.1;
 
 }
 
@@ -39,40 +39,46 @@
 }
 
 Duration
-WorkspaceQueue::Started(TimePoint aNow)
+WorkspaceQueue::StartRequest(TimePoint aNow)
 {
-  const Duration guess = MeanCost();
+  const Duration estimatedServiceTime = MeanServiceTime();
   m_running++;
-  m_startSum += aNow;
-  m_virtualTime += static_cast<double>(guess.count()) / LocalWeight();
-  return guess;
+  m_startTimeSum += aNow;
+  m_virtualTime +=
+    static_cast<double>(estimatedServiceTime.count()) / LocalWeight();
+  return estimatedServiceTime;
 }
 
 void
-WorkspaceQueue::Ended(TimePoint aStarted, TimePoint aNow, Duration aGuess)
+WorkspaceQueue::EndRequest(TimePoint aStarted,
+                           TimePoint aNow,
+                           Duration aEstimate)
 {
-  const Duration cost = aNow - aStarted;
+  const Duration serviceTime = aNow - aStarted;
   m_running--;
-  m_startSum -= aStarted;
-  m_finished += cost;
-  m_virtualTime += static_cast<double>((cost - aGuess).count()) / LocalWeight();
-  const auto measured = static_cast<double>(cost.count());
-  m_meanCostMs = m_meanCostMs == 0
-                   ? measured
-                   : m_meanCostMs + kCostSmoothing * (measured - m_meanCostMs);
+  m_startTimeSum -= aStarted;
+  m_finishedTime += serviceTime;
+  m_virtualTime +=
+    static_cast<double>((serviceTime - aEstimate).count()) / LocalWeight();
+  const auto measured = static_cast<double>(serviceTime.count());
+  m_meanServiceMs =
+    m_meanServiceMs == 0
+      ? measured
+      : m_meanServiceMs + kServiceTimeGain * (measured - m_meanServiceMs);
 }
 
 Duration
 WorkspaceQueue::ServedAt(TimePoint aNow) const
 {
-  return m_finished + aNow * m_running - m_startSum;
+  return m_finishedTime + aNow * m_running - m_startTimeSum;
 }
 
 Duration
-WorkspaceQueue::MeanCost() const
+WorkspaceQueue::MeanServiceTime() const
 {
-  return m_meanCostMs == 0 ? kFirstCostGuess
-                           : Duration(static_cast<std::int64_t>(m_meanCostMs));
+  return m_meanServiceMs == 0
+           ? kInitialServiceTime
+           : Duration(static_cast<std::int64_t>(m_meanServiceMs));
 }
 
 void
@@ -88,15 +94,16 @@
 }
 
 bool
-WorkspaceQueue::TakeRateToken(TimePoint aNow, double aPart)
+WorkspaceQueue::TakeRateToken(TimePoint aNow, double aRatio)
 {
   if (m_spec.maxRequestsPerSecond == 0) {
     return true;
   }
-  const double rate = m_spec.maxRequestsPerSecond * aPart;
-  const double seconds = std::chrono::duration<double>(aNow - m_rateAt).count();
+  const double rate = m_spec.maxRequestsPerSecond * aRatio;
+  const double seconds =
+    std::chrono::duration<double>(aNow - m_rateTokensAt).count();
   m_rateTokens = std::min(std::max(1.0, rate), m_rateTokens + rate * seconds);
-  m_rateAt = aNow;
+  m_rateTokensAt = aNow;
   if (m_rateTokens < 1.0) {
     return false;
   }
--- a/src/decision/internal/workspacequeue.h
+++ b/src/decision/internal/workspacequeue.h
@@ -28,21 +28,21 @@
 
   //! Counts a request as running and charges its estimated service time, which
   //! is returned.
-  Duration Started(TimePoint aNow);
-  //! Replaces the estimate aGuess by the measured service time.
-  void Ended(TimePoint aStarted, TimePoint aNow, Duration aGuess);
+  Duration StartRequest(TimePoint aNow);
+  //! Replaces the estimate aEstimate by the measured service time.
+  void EndRequest(TimePoint aStarted, TimePoint aNow, Duration aEstimate);
 
   //! Slot time used until aNow, running requests included.
   Duration ServedAt(TimePoint aNow) const;
-  Duration MeanCost() const;
+  Duration MeanServiceTime() const;
 
   //! Service divided by the local weight; the lowest is dispatched first.
   double VirtualTime() const { return m_virtualTime; }
   void LiftVirtualTime(double aFloor);
   void LowerVirtualTime(double aCeiling);
   //! Consumes a token of the request rate limit, of which this router applies
-  //! the ratio aPart; returns false if there is none.
-  bool TakeRateToken(TimePoint aNow, double aPart);
+  //! the ratio aRatio; returns false if there is none.
+  bool TakeRateToken(TimePoint aNow, double aRatio);
 
   const std::string& Service() const { return m_service; }
   const document::Workspace& Spec() const { return m_spec; }
@@ -61,12 +61,12 @@
   document::Workspace m_spec;
   std::deque<RequestId> m_queued;
   std::uint32_t m_running = 0;
-  Duration m_finished{}; //!< slot time of ended requests
-  Duration m_startSum{}; //!< sum of the start times of running requests
-  double m_meanCostMs = 0;
+  Duration m_finishedTime{}; //!< slot time of ended requests
+  Duration m_startTimeSum{}; //!< sum of the start times of running requests
+  double m_meanServiceMs = 0;
   double m_virtualTime = 0;
   double m_rateTokens = 0;
-  TimePoint m_rateAt{};
+  TimePoint m_rateTokensAt{};
 };
 
 }
--- a/src/decision/tests/crashtests.cpp
+++ b/src/decision/tests/crashtests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t kComingsPerSecond = 4;
+constexpr std::uint64_t kRequestsPerSecond = 4;
 
 }
 
@@ -16,7 +16,7 @@
 // the fleet, the fourth upstream is as likely to crash as the first. In
 // operation this shows as why=broken-in-answer log lines of one workspace and
 // prompt size at four routers within two seconds.
-Test(crash, ARequestThatCrashesUpstreamsIsKeptFromTheRest)
+Test(crash, RequestThatCrashesUpstreamsIsQuarantined)
 {
   fixture::FleetOptions options;
   options.routers = 7;
@@ -31,14 +31,14 @@
   callers.rate = 40;
   fleet.AddCallers(callers);
   callers.workspace = crashing;
-  callers.rate = kComingsPerSecond;
+  callers.rate = kRequestsPerSecond;
   callers.crashes = true;
   fleet.AddCallers(callers);
   fleet.RunFor(10s);
   const auto crashes = fleet.Counts().crashes;
   // Three crashes to quarantine, plus requests that arrive within three
   // seconds, before all routers have received the reports.
-  cr_assert(crashes <= 3 + 3 * kComingsPerSecond,
+  cr_assert(crashes <= 3 + 3 * kRequestsPerSecond,
             "%llu",
             static_cast<unsigned long long>(crashes));
   fleet.RunFor(30s);
--- a/src/decision/tests/randomtests.cpp
+++ b/src/decision/tests/randomtests.cpp
@@ -17,13 +17,13 @@
 constexpr std::size_t kRouters = 6;
 constexpr std::size_t kUpstreams = 9;
 constexpr int kFaults = 24;
-constexpr int kKinds = 13;
+constexpr int kFaultKinds = 13;
 //! A message storm exceeds this by far; the limit of 2048 bytes per second is
 //! checked by the scenarios.
-constexpr double kMostControlBytes = 4096;
+constexpr double kMaxControlBytes = 4096;
 
 void
-DoFault(CoreFleet& aFleet, int aKind, std::size_t aWhich)
+InjectFault(CoreFleet& aFleet, int aKind, std::size_t aWhich)
 {
   const auto router = aWhich % kRouters;
   const auto other = (aWhich / kRouters) % kRouters;
@@ -75,7 +75,7 @@
 }
 
 void
-MakeAllWell(CoreFleet& aFleet)
+RepairAll(CoreFleet& aFleet)
 {
   aFleet.Heal();
   aFleet.SetPlatform(true, false);
@@ -91,7 +91,7 @@
 }
 
 void
-CheckTruths(CoreFleet& aFleet)
+CheckInvariants(CoreFleet& aFleet)
 {
   const auto& counts = aFleet.Counts();
   RC_ASSERT(counts.invariantsBroken == 0U);
@@ -127,19 +127,19 @@
   fleet.AddCallers(booking);
   for (int i = 0; i < kFaults; ++i) {
     fleet.RunFor(base::Duration(*rc::gen::inRange(50, 4000)));
-    DoFault(fleet,
-            *rc::gen::inRange(0, kKinds),
-            *rc::gen::inRange<std::size_t>(0, 10000));
+    InjectFault(fleet,
+                *rc::gen::inRange(0, kFaultKinds),
+                *rc::gen::inRange<std::size_t>(0, 10000));
   }
-  CheckTruths(fleet);
-  MakeAllWell(fleet);
+  CheckInvariants(fleet);
+  RepairAll(fleet);
   fleet.RunFor(base::Duration(30000)); // a draining router may end in this time
-  MakeAllWell(fleet);
+  RepairAll(fleet);
   fleet.RunFor(base::Duration(30000));
   fleet.BeginMeasure({ big });
   fleet.RunFor(base::Duration(30000));
-  CheckTruths(fleet);
-  RC_ASSERT(fleet.ControlBytes().second < kMostControlBytes);
+  CheckInvariants(fleet);
+  RC_ASSERT(fleet.ControlBytes().second < kMaxControlBytes);
   RC_ASSERT(fleet.FewestMembersSeen() == kRouters);
   const auto revision = fleet.Publish(true);
   fleet.RunFor(base::Duration(4000));
@@ -148,13 +148,13 @@
     fleet.StopCallers(workspace);
   }
   fleet.RunFor(base::Duration(120000));
-  CheckTruths(fleet);
+  CheckInvariants(fleet);
   RC_ASSERT(fleet.StillOpen() == 0U);
 }
 
 }
 
-Test(random, NothingThatMustHoldIsEverBroken, .timeout = 1200)
+Test(random, InvariantsHoldUnderRandomFaults, .timeout = 1200)
 {
   // For more runs or another seed: RC_PARAMS="max_success=1000 seed=7"
   setenv("RC_PARAMS", "max_success=100 seed=20261202 noshrink=1", 0);
--- a/src/decision/tests/scenariotests.cpp
+++ b/src/decision/tests/scenariotests.cpp
@@ -22,7 +22,7 @@
 }
 
 void
-ExpectHolds(const std::string& aName)
+ExpectScenarioPasses(const std::string& aName)
 {
   const auto path = std::filesystem::path(SCENARIO_DIR) / aName;
   const auto failures = RunScenario(aName, ReadFile(path));
@@ -38,7 +38,7 @@
 #define SCENARIO(aName, aFile)                                                 \
   Test(scenario, aName, .timeout = 300)                                        \
   {                                                                            \
-    ExpectHolds(aFile ".scenario");                                            \
+    ExpectScenarioPasses(aFile ".scenario");                                   \
   }
 
 SCENARIO(BadDocumentAtColdStart, "bad-document-at-cold-start")
@@ -58,7 +58,7 @@
 SCENARIO(Sharing, "sharing")
 SCENARIO(ZoneLoss, "zone-loss")
 
-Test(scenario, EveryFileHasItsTest)
+Test(scenario, EveryScenarioFileHasATest)
 {
   std::size_t files = 0;
   for (const auto& entry : std::filesystem::directory_iterator(SCENARIO_DIR)) {
@@ -68,7 +68,7 @@
   cr_assert(files == kTests, "%zu", files);
 }
 
-Test(scenario, AnUnknownWordIsRefusedWithItsLine)
+Test(scenario, UnknownWordIsReportedWithItsLine)
 {
   std::string why;
   try {
--- a/src/decision/tests/slottests.cpp
+++ b/src/decision/tests/slottests.cpp
@@ -45,16 +45,18 @@
 
 }
 
-Test(slots, ASlotTakenAgainUnderAnOldGrantIsNotLentTwice)
+Test(slots, SlotHeldUnderDuplicateGrantIsNotGrantedTwice)
 {
   auto owner = OwnerOfTwoSlots();
-  owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 2, 0, 2, 50 }, kLater);
+  owner.HandleReport(kFirst, { kUpstream, kBoot, 0, 2, 0, 2, 50 }, kLater);
   const auto sequence = SequenceOf(owner, kFirst);
-  owner.TakeReport(kFirst, { kUpstream, kBoot, sequence, 0, 0, 0, 50 }, kLater);
+  owner.HandleReport(
+    kFirst, { kUpstream, kBoot, sequence, 0, 0, 0, 50 }, kLater);
   // A duplicate of the grant reached the borrower after it had returned all
   // slots.
-  owner.TakeReport(kFirst, { kUpstream, kBoot, sequence, 2, 2, 2, 50 }, kLater);
-  owner.TakeReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
+  owner.HandleReport(
+    kFirst, { kUpstream, kBoot, sequence, 2, 2, 2, 50 }, kLater);
+  owner.HandleReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
   owner.Review(kLater, kExpiry);
   cr_assert(GrantedTo(owner, kSecond) == 0);
   // The grant is sent again under a new sequence.
@@ -62,39 +64,39 @@
   cr_assert(GrantedTo(owner, kFirst) == 0);
 }
 
-Test(slots, AForgottenBorrowerCanBorrowAgain)
+Test(slots, DroppedBorrowerCanBorrowAgain)
 {
   auto owner = OwnerOfTwoSlots();
-  owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 0, 0, 2, 50 }, kLater);
+  owner.HandleReport(kFirst, { kUpstream, kBoot, 0, 0, 0, 2, 50 }, kLater);
   owner.Review(kLater, kExpiry);
   const auto before = SequenceOf(owner, kFirst);
   const auto muchLater = kLater + 2 * kExpiry;
   owner.Review(muchLater, kExpiry);
-  owner.TakeReport(
+  owner.HandleReport(
     kFirst, { kUpstream, kBoot, before, 0, 0, 2, 50 }, muchLater);
   owner.Review(muchLater, kExpiry);
   cr_assert(GrantedTo(owner, kFirst) == 2);
   cr_assert(SequenceOf(owner, kFirst) > before);
 }
 
-Test(slots, AConfirmationOfAnEarlierRunIsNone)
+Test(slots, AcknowledgementOfEarlierRunIsIgnored)
 {
   auto owner = OwnerOfTwoSlots();
-  owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 1, 1, 1, 50 }, kLater);
+  owner.HandleReport(kFirst, { kUpstream, kBoot, 0, 1, 1, 1, 50 }, kLater);
   // Acknowledges sequence 1 of the owner's earlier run, with both slots held.
-  owner.TakeReport(kFirst, { kUpstream, kBoot - 1, 1, 2, 2, 2, 50 }, kLater);
-  owner.TakeReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
+  owner.HandleReport(kFirst, { kUpstream, kBoot - 1, 1, 2, 2, 2, 50 }, kLater);
+  owner.HandleReport(kSecond, { kUpstream, kBoot, 0, 0, 0, 2, 10 }, kLater);
   owner.Review(kLater, kExpiry);
   cr_assert(GrantedTo(owner, kSecond) == 0);
 }
 
-Test(slots, TheFarSideOfAPartitionIsTakenOffButNotAll)
+Test(slots, ForeignLoadReducesUsableSlotsDownToAliveRatio)
 {
   SlotOwner owner(kBoot);
   owner.SetOwned({ { kUpstream, 8 } }, TimePoint{});
-  owner.TakeReport(kFirst, { kUpstream, kBoot, 0, 0, 0, 8, 10 }, kLater);
-  owner.TakeLoad(kUpstream, 8, 0.25);
-  owner.TakeLoad(kUpstream, 8, 0.25);
+  owner.HandleReport(kFirst, { kUpstream, kBoot, 0, 0, 0, 8, 10 }, kLater);
+  owner.HandleLoad(kUpstream, 8, 0.25);
+  owner.HandleLoad(kUpstream, 8, 0.25);
   owner.Review(kLater, kExpiry);
   cr_assert(GrantedTo(owner, kFirst) == 2, "%u", GrantedTo(owner, kFirst));
 }
