--- a/src/decision/decisiontypes.h
+++ b/src/decision/decisiontypes.h
@@ -65,8 +65,8 @@
 inline constexpr auto kMemberStateNames =
   base::MakeEnumNames<MemberState>("alive", "left", "dead");
 
-//! States that a router is alive, has left or is dead. Routers pass it on to
-//! each other.
+//! States that a router is alive, has left or is dead; passed on from router to
+//! router.
 struct MemberNotice
 {
   RouterId router{};
@@ -91,8 +91,8 @@
 {
   WorkspaceId workspace{};
   std::uint32_t demand = 0;
-  std::int32_t behindMs =
-    0; //!< behind its share, in ms of service at its share
+  //! Lag behind its share, in ms of service at its share.
+  std::int32_t behindMs = 0;
 };
 
 //! Number of slots of an upstream that its owner has not granted to any router.
@@ -112,8 +112,8 @@
   std::uint16_t held = 0;
   std::uint16_t inUse = 0;
   std::uint16_t want = 0;
-  std::uint16_t urgency =
-    0; //!< slots held in percent of entitled; lowest first
+  //! Slots held, in percent of the entitlement; the lowest is served first.
+  std::uint16_t urgency = 0;
 };
 
 //! Slots of one upstream granted to a borrower; sent by the owner.
@@ -432,8 +432,8 @@
   double entitledFleet = 0; //!< slots
   double entitledHere = 0;  //!< slots
   double servedHere = 0;    //!< slot seconds
-  double lagSeconds =
-    0; //!< behind its share, in seconds of service at its share
+  //! Lag behind its share, in seconds of service at its share.
+  double lagSeconds = 0;
 };
 
 struct MemberStatus
