--- a/src/peer/internal/incominglink.h
+++ b/src/peer/internal/incominglink.h
@@ -10,11 +10,13 @@
 
 namespace hemlockgauge::peer {
 
-//! A connection on which a peer sends frames to this router.
+//! A connection on which a peer sends frames to this router. Each accepted
+//! frame is acknowledged with one byte.
 class IncomingLink : public ACE_Event_Handler
 {
 public:
-  //! aOnBytes takes one frame; it throws Error(BadFrame) if it is none.
+  //! aOnFrame handles the bytes of one frame and throws Error(BadFrame) if they
+  //! are invalid; then aOnBad is called and the connection closes.
   IncomingLink(ACE_Reactor& aReactor,
                std::function<void(const std::vector<std::uint8_t>&)> aOnFrame,
                std::function<void()> aOnBad);
--- a/src/peer/internal/outgoinglink.cpp
+++ b/src/peer/internal/outgoinglink.cpp
@@ -45,7 +45,7 @@
 OutgoingLink::Send(std::vector<std::uint8_t> aBytes, base::TimePoint aNow)
 {
   if (m_frames.size() >= kMaxUnconfirmed) {
-    return; // the peer is gone or far behind; later frames say it anew
+    return; // the peer is down or slow; later frames repeat the state
   }
   m_lastSend = aNow;
   m_frames.push_back({ std::move(aBytes), aNow });
@@ -168,8 +168,8 @@
   if (m_open) {
     Lose();
   }
-  //! NOTE what is this old has been overtaken by events; the rest is sent
-  //! again, and its sequence lets the peer drop what it already has.
+  // Frames older than this are outdated. The others are sent again; the peer
+  // drops those that it already has by their sequence number.
   while (!m_frames.empty() &&
          aNow - m_frames.front().sent > 2 * kConfirmLimit) {
     m_frames.pop_front();
--- a/src/peer/internal/outgoinglink.h
+++ b/src/peer/internal/outgoinglink.h
@@ -14,8 +14,8 @@
 namespace hemlockgauge::peer {
 
 //! A connection on which this router sends frames to one peer. The peer
-//! confirms each frame with one byte, so that a connection that something
-//! between the two has forgotten is noticed and replaced.
+//! acknowledges each frame with one byte, so that a connection whose state was
+//! lost on the path (such as in a NAT or firewall) is detected and replaced.
 class OutgoingLink : public ACE_Event_Handler
 {
 public:
@@ -25,7 +25,8 @@
   ~OutgoingLink() override;
 
   void Send(std::vector<std::uint8_t> aBytes, base::TimePoint aNow);
-  //! Replaces the connection if a frame was not confirmed in time.
+  //! Reconnects if the oldest frame was not acknowledged in time, or if the
+  //! connection is closed and the reconnect delay has passed.
   void Review(base::TimePoint aNow);
   bool IsIdleSince(base::TimePoint aTime) const { return m_lastSend < aTime; }
 
--- a/src/peer/internal/tcppeertransport.cpp
+++ b/src/peer/internal/tcppeertransport.cpp
@@ -45,7 +45,7 @@
   const ACE_INET_Addr address(aAddress.port, aAddress.ip.c_str());
   if (m_acceptor.open(address, 1, PF_INET, kBacklog) == -1) {
     throw base::Error(base::ErrorCode::Unreachable,
-                      "cannot listen for peers on " + aAddress.Text());
+                      "cannot listen for peer routers on " + aAddress.Text());
   }
   m_acceptor.enable(ACE_NONBLOCK);
   m_reactor.register_handler(this, ACCEPT_MASK);
--- a/src/peer/internal/tcppeertransport.h
+++ b/src/peer/internal/tcppeertransport.h
@@ -18,7 +18,7 @@
 class IncomingLink;
 class OutgoingLink;
 
-//! Frames over TCP on an ACE reactor.
+//! Sends and receives length-prefixed frames over TCP on an ACE reactor.
 class TcpPeerTransport
   : public IPeerTransport
   , public ACE_Event_Handler
--- a/src/peer/ipeertransport.h
+++ b/src/peer/ipeertransport.h
@@ -7,7 +7,8 @@
 
 namespace hemlockgauge::peer {
 
-//! Carries frames between routers; all calls on the control thread.
+//! Sends and receives frames between routers. Call it on the control thread
+//! only; handlers run there too.
 class IPeerTransport
 {
 public:
@@ -20,7 +21,8 @@
   virtual void Listen(const base::Address& aAddress,
                       FrameHandler aOnFrame,
                       LinkLostHandler aOnLinkLost) = 0;
-  //! Delivers at most once; a lost frame is not an error.
+  //! Queues a frame. It may be lost, which is not reported as an error, or be
+  //! sent again after a reconnect; the receiver drops duplicates by sequence.
   virtual void Send(decision::RouterId aRouter,
                     const base::Address& aAddress,
                     const decision::Frame& aFrame) = 0;
--- a/src/platform/internal/httpget.cpp
+++ b/src/platform/internal/httpget.cpp
@@ -81,8 +81,9 @@
     throw base::Error(
       refused ? base::ErrorCode::Refused : base::ErrorCode::Unreachable,
       url + ": " +
-        (result != CURLE_OK ? std::string(curl_easy_strerror(result))
-                            : "status " + std::to_string(status)));
+        (result != CURLE_OK
+           ? std::string(curl_easy_strerror(result))
+           : "status " + std::to_string(status) + ", expected 200"));
   }
   return answer;
 }
--- a/src/platform/internal/httpget.h
+++ b/src/platform/internal/httpget.h
@@ -13,12 +13,12 @@
 struct HttpAnswer
 {
   std::string body;
-  std::optional<std::uint64_t> revision; //!< of the X-Revision header
+  std::optional<std::uint64_t> revision; //!< value of the X-Revision header
 };
 
-//! One GET on a new connection. Throws Error(Refused) if nothing listens there,
-//! Error(Unreachable) on anything else but 200 within the limit; ends early
-//! when aStop turns true.
+//! Sends a GET request on a new connection. Throws Error(Refused) if the
+//! connection is refused, Error(Unreachable) on any other failure, on a status
+//! other than 200 and after aLimit. Aborts when aStop becomes true.
 HttpAnswer
 HttpGet(const base::Address& aAddress,
         const std::string& aPath,
--- a/src/platform/internal/platformclient.cpp
+++ b/src/platform/internal/platformclient.cpp
@@ -16,7 +16,8 @@
 constexpr base::Duration kWatchSlack = 2000ms;
 constexpr base::Duration kHostPeriod = 1000ms;
 constexpr base::Duration kFailurePause = 500ms;
-//! Routers that do not watch hear of changes from those that do.
+//! Poll interval of routers that do not watch; they receive changes from the
+//! routers that do.
 constexpr base::Duration kSlowReadPeriod = 60000ms;
 constexpr base::Duration kLoadLimit = 800ms;
 constexpr std::size_t kMaxPolls = 1024;
@@ -199,7 +200,7 @@
         ParseLoad(poll.upstream,
                   HttpGet(poll.address, "/v1/load", kLoadLimit, m_stop).body));
     } catch (const base::Error&) {
-      // No report: the owner goes on with what it lent.
+      // Without a load report the slot owner keeps its current leases.
     }
   }
 }
--- a/src/platform/internal/platformclient.h
+++ b/src/platform/internal/platformclient.h
@@ -13,9 +13,9 @@
 
 namespace hemlockgauge::platform {
 
-//! Four threads: documents, hosts, load of upstreams, and looks at upstreams
-//! whose connections broke. A watch that
-//! stays silent is given up after its own limit and opened anew.
+//! Runs four threads: documents, hosts, load of upstreams, and checks of
+//! upstreams whose connections broke. A watch request that gets no answer times
+//! out and is sent again.
 class PlatformClient : public IPlatformClient
 {
 public:
@@ -37,7 +37,8 @@
   void ReadDocuments(std::uint64_t aAfter, base::Duration aWait);
   void NoteAnswer();
   void NoteFailure(const char* aWhat, const std::string& aWhy);
-  //! Sleeps unless stopped or told to watch.
+  //! Sleeps for aTime; returns early on Stop or when SetWatching changes the
+  //! mode.
   void Pause(base::Duration aTime);
 
   base::Address m_platform;
--- a/src/platform/internal/platformjson.cpp
+++ b/src/platform/internal/platformjson.cpp
@@ -32,7 +32,10 @@
     decision::kHostStateNames.ValueOf(aValue.at("state").get<std::string>());
   if (!role || !state) {
     throw base::Error(base::ErrorCode::BadSyntax,
-                      "host " + host.name + ": unknown role or state");
+                      "host " + host.name + ": unknown role \"" +
+                        aValue.at("role").get<std::string>() +
+                        "\" or state \"" +
+                        aValue.at("state").get<std::string>() + "\"");
   }
   host.role = *role;
   host.state = *state;
--- a/src/platform/internal/platformjson.h
+++ b/src/platform/internal/platformjson.h
@@ -13,7 +13,8 @@
   std::vector<decision::DocumentVersion> documents;
 };
 
-//! These throw Error(BadSyntax) on anything but what they expect.
+//! The parse functions throw Error(BadSyntax) on invalid JSON, missing fields
+//! and unknown roles or states.
 DocumentList
 ParseDocumentList(const std::string& aText);
 decision::HostsRead
--- a/src/platform/iplatformclient.h
+++ b/src/platform/iplatformclient.h
@@ -6,8 +6,8 @@
 
 namespace hemlockgauge::platform {
 
-//! Reads what the platform publishes and load from upstreams; it never
-//! writes. Events are posted from a thread of its own.
+//! Reads documents and hosts from the platform and the load of upstreams; never
+//! writes. Posts the results as events, from its own threads.
 class IPlatformClient
 {
 public:
@@ -16,13 +16,15 @@
   virtual ~IPlatformClient() = default;
 
   virtual void Start(Post aPost) = 0;
-  //! Watch on, or only read once in a while.
+  //! Watches the platform for changes (true) or polls it at a long interval
+  //! (false).
   virtual void SetWatching(bool aOn) = 0;
   virtual void PollLoad(const decision::PollLoad& aPoll) = 0;
-  //! Looks whether an upstream still listens.
+  //! Checks whether an upstream still listens; posts UpstreamChecked.
   virtual void CheckUpstream(const decision::CheckUpstream& aCheck) = 0;
   virtual void Stop() = 0;
-  //! Age of the last good answer of the platform; huge if there was none.
+  //! Time since the last successful answer of the platform; very large if there
+  //! was none.
   virtual base::Duration AnswerAge() const = 0;
 };
 
--- a/src/router/internal/control.cpp
+++ b/src/router/internal/control.cpp
@@ -135,9 +135,10 @@
   base::FlushLog();
 }
 
-//! First signal: refuse what waits, let the balancer notice, close the
-//! listener, end when the last answer is out. Second signal or the limit:
-//! cut, and say so.
+//! Advances a graceful stop. First signal: refuses queued requests, reports not
+//! ready for drainNotice so that the load balancer notices, closes the listener
+//! and ends after the last answer. After a second signal or stopLimit: aborts
+//! the remaining requests and logs their number.
 void
 Control::FollowStop()
 {
--- a/src/router/internal/control.h
+++ b/src/router/internal/control.h
@@ -27,7 +27,7 @@
 
 namespace hemlockgauge::router {
 
-//! What the control thread works with; all of it outlives the thread.
+//! Services that Control uses; they must outlive it.
 struct ControlParts
 {
   ACE_Reactor& reactor;
@@ -38,7 +38,8 @@
   metrics::Metrics& metrics;
 };
 
-//! The control thread: feeds the decision core and carries its actions out.
+//! The control thread: passes events to the decision core and executes the
+//! actions that the core returns.
 class Control
   : public traffic::IControl
   , public ACE_Event_Handler
@@ -50,9 +51,10 @@
   ~Control() override;
 
   void Start();
-  //! Runs until stopped; returns the exit code.
+  //! Runs the event loop until the router has stopped; returns the exit code.
   int Run();
-  //! Callable from a signal handler; a second call cuts what is left.
+  //! Starts a graceful stop; a second call aborts the requests still in
+  //! progress. Async-signal-safe.
   static void RequestStop();
 
   void Post(decision::Event aEvent) override;
--- a/src/router/internal/decisionlog.h
+++ b/src/router/internal/decisionlog.h
@@ -10,7 +10,8 @@
 
 namespace hemlockgauge::router {
 
-//! Writes each decision as a log line and keeps the last ones of requests.
+//! Logs each decision and keeps the log lines of the last kKeptRequests
+//! requests.
 class DecisionLog
 {
 public:
--- a/src/router/main.cpp
+++ b/src/router/main.cpp
@@ -7,26 +7,26 @@
 
 #include <iostream>
 
-DEFINE_string(settings, "", "file with this router's settings (INI)");
-DEFINE_bool(check, false, "only check the settings and exit");
+DEFINE_string(settings, "", "path of the router's settings file (INI)");
+DEFINE_bool(check, false, "check the settings file and exit");
 
 using namespace hemlockgauge;
 
 namespace {
 
 constexpr int kExitBadSettings = 1;
-//! How long a reader of the log may take for the last lines.
-constexpr int kLastLinesMs = 500;
+//! How long exit waits until the log reader has taken the last lines, ms.
+constexpr int kLogFlushTimeoutMs = 500;
 
 }
 
 int
 main(int argc, char** argv)
 {
-  gflags::SetUsageMessage(
-    "--settings=FILE [--check]\n"
-    "Exit codes: 0 stopped with nothing cut, 1 bad settings or no listener,\n"
-    "2 stopped and something was cut.");
+  gflags::SetUsageMessage("--settings=FILE [--check]\n"
+                          "Exit codes: 0 stopped, no request aborted; 1 bad "
+                          "settings or no listener;\n"
+                          "2 stopped, at least one request aborted.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   try {
     const auto settings = document::ParseSettings(
@@ -37,7 +37,7 @@
     }
     base::SetUpLog("hemlockgauge-router", settings.logLevel);
     const int code = router::RunRouter(settings);
-    base::FlushLog(kLastLinesMs);
+    base::FlushLog(kLogFlushTimeoutMs);
     return code;
   } catch (const base::Error& error) {
     std::cerr << error.what() << "\n";
--- a/src/router/routermodule.cpp
+++ b/src/router/routermodule.cpp
@@ -22,7 +22,8 @@
 
 namespace {
 
-//! Tenths of a second since 2026: higher at each start, without a disk.
+//! Returns tenths of a second since 2026 by the system clock: increases at each
+//! start without storing a counter on disk.
 std::uint32_t
 NewIncarnation()
 {
--- a/src/router/routermodule.h
+++ b/src/router/routermodule.h
@@ -4,8 +4,9 @@
 
 namespace hemlockgauge::router {
 
-//! Runs a router until it is told to stop; returns the exit code: 0 when
-//! nothing in progress was cut, 2 when something was.
+//! Runs a router until SIGTERM or SIGINT. Returns the exit code: 0 if no
+//! request in progress was aborted, 2 otherwise. Throws Error if it cannot
+//! listen.
 int
 RunRouter(const document::RouterSettings& aSettings);
 
--- a/src/router/tests/processtests.sh
+++ b/src/router/tests/processtests.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Real processes: a graceful stop under load, a router that stands still and
-# wakes, a kill, and the operators' command line. Waits on conditions only.
-# processtests.sh BINARIES SOURCES
+# Tests real processes: a graceful stop under load, a router that is paused and
+# resumes, a killed router, and the operators' command line. Waits for
+# conditions, never for a fixed time.
+# Usage: processtests.sh BINARIES SOURCES
 set -uo pipefail
 FLEET_BIN=$1
 FLEET_BASE=27000
@@ -16,8 +17,8 @@
   failures=$((failures + 1))
 }
 
-# Whether a command's output holds a pattern. All of it is read first: a
-# reader that stops early would make the command fail by a broken pipe.
+# Tests whether a command's output matches a pattern. Reads the whole output
+# first: if grep -q exited early, the command would fail with a broken pipe.
 shows() { # PATTERN COMMAND...
   local pattern=$1 output
   shift
@@ -78,7 +79,7 @@
   ! kill -0 "$1" 2>/dev/null
 }
 
-# A graceful stop cuts nothing, and the process says so.
+# A graceful stop aborts no request, and the process logs that.
 plan 12 1 >"$FLEET_DIR/plan.ini"
 "$FLEET_BIN/hemlockgauge-load" --plan="$FLEET_DIR/plan.ini" \
   >"$FLEET_DIR/summary" &
@@ -89,7 +90,7 @@
 grep -q 'event=stopped requests_cut=0' "$FLEET_DIR/r2.log" ||
   fail "r2 did not end with nothing cut"
 
-# A router that stood still wakes, says so, and is one of the fleet again.
+# A paused router that resumes logs the pause and rejoins the fleet.
 kill -STOP "${FLEET_PID[r3]}"
 sleep 3
 kill -CONT "${FLEET_PID[r3]}"
@@ -101,7 +102,8 @@
 fleet_start_router 2
 wait_for "three members again" members 1 3
 
-# A killed router cuts visibly; nothing is lost, doubled or wrong.
+# A killed router breaks its connections visibly to callers; no request is
+# lost, run twice or answered wrongly.
 plan 6 2 >"$FLEET_DIR/plan.ini"
 "$FLEET_BIN/hemlockgauge-load" --plan="$FLEET_DIR/plan.ini" \
   >"$FLEET_DIR/summary" &
@@ -115,7 +117,7 @@
 }
 wait_for "the notice of r3's death" dead
 
-# The command line explains, checks and refuses.
+# The command line tool explains requests, and checks and refuses documents.
 id=$(curl -s --noproxy '*' -D - -o /dev/null -H 'Authorization: Bearer key-w' \
   -d '{"seed":1,"tokens":1}' \
   "http://127.0.0.1:$((FLEET_BASE + 1101))/chat/x" |
--- a/src/traffic/internal/admissionfilters.cpp
+++ b/src/traffic/internal/admissionfilters.cpp
@@ -13,7 +13,7 @@
 constexpr int kNotFound = 404;
 
 Refusal
-ForGood(int aStatus, std::string aReason)
+PermanentRefusal(int aStatus, std::string aReason)
 {
   return { aStatus, std::move(aReason), base::Verdict::NotRun, {} };
 }
@@ -26,7 +26,7 @@
 {
   aRequest.service = aTable.MatchPath(aRequest.path);
   if (!aRequest.service) {
-    return ForGood(kNotFound, "no-service-at-this-path");
+    return PermanentRefusal(kNotFound, "no-service-at-this-path");
   }
   aRequest.repeatable =
     RoutingTable::IsRepeatable(*aRequest.service, aRequest.path);
@@ -38,7 +38,7 @@
                           const RoutingTable& aTable) const
 {
   if (aRequest.bearerKey.empty()) {
-    return ForGood(kUnauthorized, "key-missing");
+    return PermanentRefusal(kUnauthorized, "key-missing");
   }
   const auto digest = Sha256Hex(aRequest.bearerKey);
   aRequest.bearerKey.clear();
@@ -48,7 +48,7 @@
       return std::nullopt;
     }
   }
-  return ForGood(kUnauthorized, "key-unknown");
+  return PermanentRefusal(kUnauthorized, "key-unknown");
 }
 
 std::optional<Refusal>
@@ -63,7 +63,8 @@
   const auto* end = callerDeadlineMs.data() + callerDeadlineMs.size();
   const auto parsed = std::from_chars(callerDeadlineMs.data(), end, millis);
   if (parsed.ec != std::errc() || parsed.ptr != end || millis < 1) {
-    return ForGood(kBadRequest, "deadline-not-a-number-of-milliseconds");
+    return PermanentRefusal(kBadRequest,
+                            "deadline-not-a-number-of-milliseconds");
   }
   aRequest.deadline = std::min(aRequest.deadline, now + base::Duration(millis));
   return std::nullopt;
--- a/src/traffic/internal/admissionfilters.h
+++ b/src/traffic/internal/admissionfilters.h
@@ -8,21 +8,25 @@
 
 namespace hemlockgauge::traffic {
 
-//! Finds the service by the path, and whether the call may be repeated.
+//! Sets the service that serves the request's path and whether the request is
+//! idempotent there. Refuses with 404 if no service has a matching prefix.
 struct MatchRouteFilter
 {
   std::optional<Refusal> Apply(CallerRequest& aRequest,
                                const RoutingTable& aTable) const;
 };
 
-//! Finds the workspace by the key, for that service only.
+//! Sets the workspace that owns the bearer key in the matched service and wipes
+//! the key. Refuses with 401 if the key is missing or unknown there.
 struct AuthenticateFilter
 {
   std::optional<Refusal> Apply(CallerRequest& aRequest,
                                const RoutingTable& aTable) const;
 };
 
-//! Sets the deadline: the caller's own if it is sooner than the service's.
+//! Sets the deadline to the earlier of the service's and the caller's
+//! (X-Deadline-Ms, milliseconds from now). Refuses with 400 unless the header
+//! is empty or a positive integer.
 struct DeadlineFilter
 {
   base::TimePoint now{};
@@ -35,7 +39,8 @@
 using AdmissionFilter =
   std::variant<MatchRouteFilter, AuthenticateFilter, DeadlineFilter>;
 
-//! Runs the filters in order until one refuses.
+//! Runs the filters in order and returns the first refusal; nullopt if the
+//! request is admitted.
 std::optional<Refusal>
 RunFilters(const std::vector<AdmissionFilter>& aFilters,
            CallerRequest& aRequest,
--- a/src/traffic/internal/answerreader.cpp
+++ b/src/traffic/internal/answerreader.cpp
@@ -9,7 +9,8 @@
 constexpr std::size_t kMaxEventBytes = 1 << 20;
 constexpr std::string_view kEventEnd = "\n\n";
 
-//! The value of a field of an event; empty if it has none.
+//! Returns the value of the first line that starts with aName ("id:"); empty if
+//! the event has no such line.
 std::string_view
 FieldOf(std::string_view aEvent, std::string_view aName)
 {
@@ -70,7 +71,7 @@
 EventStreamAnswer::TakeEvent(std::string_view aEvent, std::string& aOut)
 {
   if (aEvent.starts_with(':')) {
-    return true; // a comment that keeps the connection alive
+    return true; // a comment line, sent as keep-alive
   }
   const auto id = FieldOf(aEvent, "id:");
   const auto slash = id.rfind('/');
@@ -85,7 +86,7 @@
     return false;
   }
   if (offset < m_next) {
-    return true; // has been passed on before
+    return true; // already forwarded before the stream was resumed
   }
   if (offset > m_next) {
     return false;
--- a/src/traffic/internal/answerreader.h
+++ b/src/traffic/internal/answerreader.h
@@ -7,11 +7,12 @@
 
 namespace hemlockgauge::traffic {
 
-//! Passes a plain answer on as it comes.
+//! Forwards the body of a plain upstream unchanged.
 class PlainAnswer
 {
 public:
-  //! Bytes for the caller; false if the answer is not ours.
+  //! Appends to aOut the bytes to forward to the caller. Returns false if the
+  //! answer belongs to another request or is malformed.
   bool Take(std::string_view aBytes, std::string& aOut);
   bool IsWhole(bool aCleanEnd) const { return aCleanEnd; }
   std::uint64_t Offset() const { return m_passed; }
@@ -20,9 +21,10 @@
   std::uint64_t m_passed = 0;
 };
 
-//! Reads the server-sent events of a model engine. Each names the request
-//! and its offset ("id: REQUEST/OFFSET"); only the next offset of our own
-//! request is passed on, so none is missing and none comes twice.
+//! Parses the server-sent events of a model engine. Each event carries the
+//! request id and a token offset ("id: REQUEST/OFFSET"). Only the event with
+//! the next offset of this request is forwarded, so the caller gets each event
+//! exactly once, also across resumptions.
 class EventStreamAnswer
 {
 public:
@@ -30,9 +32,9 @@
 
   bool Take(std::string_view aBytes, std::string& aOut);
   bool IsWhole(bool) const { return m_done; }
-  //! The offset of the next token.
+  //! Offset of the next token to forward.
   std::uint64_t Offset() const { return m_next; }
-  //! Forgets a half-read event, before a resumed stream is read.
+  //! Drops an incomplete event; call before reading a resumed stream.
   void Restart() { m_pending.clear(); }
 
 private:
--- a/src/traffic/internal/callerserver.cpp
+++ b/src/traffic/internal/callerserver.cpp
@@ -16,7 +16,7 @@
 
 namespace hemlockgauge::traffic {
 
-//! One HTTP request while libmicrohttpd works on it.
+//! State of one HTTP request between the callbacks of libmicrohttpd.
 struct CallerWork
 {
   CallerRequest request;
@@ -52,7 +52,7 @@
   return info == nullptr ? -1 : info->connect_fd;
 }
 
-//! The query as it came, for the upstream.
+//! Appends one query argument, percent-encoded again, to a query string.
 MHD_Result
 AppendQuery(void* aOut, MHD_ValueKind, const char* aKey, const char* aValue)
 {
@@ -218,7 +218,8 @@
                                  MHD_OPTION_END);
   if (m_callers == nullptr || m_operators == nullptr) {
     throw base::Error(base::ErrorCode::Unreachable,
-                      "cannot listen on " + aSettings.listen.Text() + " and " +
+                      "cannot listen for callers on " +
+                        aSettings.listen.Text() + " and for operators on " +
                         aSettings.adminListen.Text());
   }
 }
--- a/src/traffic/internal/callerserver.h
+++ b/src/traffic/internal/callerserver.h
@@ -23,7 +23,7 @@
 class IControl;
 struct CallerWork;
 
-//! What the server needs of the rest of the traffic plane.
+//! Receives the requests that CallerServer has read.
 class IExchangeSink
 {
 public:
@@ -32,12 +32,12 @@
   virtual std::shared_ptr<const RoutingTable> Table() const = 0;
   virtual std::string NewRequestId(base::RequestId& aId) = 0;
   virtual void Submit(std::shared_ptr<Exchange> aExchange) = 0;
-  //! aEarly: the caller went before its answer had ended.
+  //! aEarly: the connection ended before the answer was complete.
   virtual void CallerEnded(const std::shared_ptr<Exchange>& aExchange,
                            bool aEarly) = 0;
 };
 
-//! The HTTP server towards callers, and the one towards operators.
+//! Runs two HTTP servers: one for callers, one for operators (admin pages).
 class CallerServer
 {
 public:
@@ -49,17 +49,19 @@
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
 
-  //! No new connections; each answer from now on closes its own.
+  //! Stops accepting connections. Answers from now on carry
+  //! "Connection: close".
   void CloseListener();
-  //! Reads nothing more from connections that wait for a request; a request
-  //! that was read already is still answered.
+  //! Shuts down reading on connections without a complete request. Requests
+  //! that were read before are still answered.
   void CloseIdle();
   std::size_t Connections();
   void Stop();
-  //! Closes connections whose request stays incomplete for too long.
+  //! Closes connections that have waited longer than callerTimeout for a
+  //! complete request.
   void CloseSlowCallers(base::TimePoint aNow);
 
-  // Called back by libmicrohttpd
+  // Called by libmicrohttpd
   int OnRequest(MHD_Connection* aConnection,
                 const char* aUrl,
                 const char* aMethod,
@@ -88,7 +90,7 @@
   std::atomic<bool> m_listening{ true };
   std::mutex m_mutex;
   std::size_t m_connections = 0;
-  //! When each connection began to wait for a whole request.
+  //! By socket: when the connection began to wait for a complete request.
   std::map<int, base::TimePoint> m_waiting;
 };
 
--- a/src/traffic/internal/keydigest.h
+++ b/src/traffic/internal/keydigest.h
@@ -5,7 +5,7 @@
 
 namespace hemlockgauge::traffic {
 
-//! SHA-256 in lower-case hexadecimal.
+//! Returns the SHA-256 digest of aText in lower-case hexadecimal.
 std::string
 Sha256Hex(std::string_view aText);
 
--- a/src/traffic/internal/trafficplane.cpp
+++ b/src/traffic/internal/trafficplane.cpp
@@ -18,8 +18,8 @@
 using namespace std::chrono_literals;
 
 constexpr base::Duration kSweepPeriod = 100ms;
-//! A connection that was accepted right before the listener closed is counted
-//! by then.
+//! How long there must be no connection before the plane counts as quiet. A
+//! connection accepted right before the listener closed is counted by then.
 constexpr base::Duration kQuietFor = 50ms;
 
 int
@@ -115,8 +115,8 @@
   {
     const std::lock_guard lock(m_mutex);
     if (m_stop) {
-      //! NOTE one that waited now would be suspended at the server's end,
-      //! which ends the process.
+      // An exchange that waited would keep its connection suspended while the
+      // server stops, and libmicrohttpd aborts the process on that.
       aExchange->Refuse({ StatusOf(RefusalReason::Draining),
                           std::string(decision::kRefusalReasonNames.NameOf(
                             RefusalReason::Draining)),
@@ -242,8 +242,9 @@
   return m_exchanges.size();
 }
 
-//! Callers keep connections and send the next request on them, so that none is
-//! in progress says nothing of the next moment: the connections end first.
+//! Having no request in progress is not enough: callers may send the next
+//! request on a connection that they keep open. So idle connections are closed
+//! first.
 bool
 TrafficPlane::IsQuiet()
 {
--- a/src/traffic/internal/trafficplane.h
+++ b/src/traffic/internal/trafficplane.h
@@ -17,7 +17,8 @@
 
 class UpstreamWorker;
 
-//! All traffic threads of a router and the requests between them.
+//! Owns the traffic threads of a router (caller server, upstream workers,
+//! sweeper) and the requests in progress.
 class TrafficPlane
   : public ITraffic
   , public IExchangeSink
--- a/src/traffic/internal/transfer.cpp
+++ b/src/traffic/internal/transfer.cpp
@@ -21,7 +21,8 @@
 constexpr long kNotFound = 404;
 constexpr long kUnavailable = 503;
 
-//! The value of a header line if it has this name.
+//! Returns the trimmed value of a header line if its name is aName, ignoring
+//! case.
 std::optional<std::string>
 HeaderValue(std::string_view aLine, std::string_view aName)
 {
@@ -133,7 +134,8 @@
   curl_easy_setopt(curl, CURLOPT_XFERINFODATA, this);
   const auto idHeader = "X-Request-Id: " + request.idText;
   m_headers = curl_slist_append(m_headers, idHeader.c_str());
-  //! NOTE without this libcurl waits for "100 Continue" on larger bodies.
+  // Without an empty Expect header libcurl waits for "100 Continue" before it
+  // sends larger bodies.
   m_headers = curl_slist_append(m_headers, "Expect:");
   if (!request.idempotencyKey.empty()) {
     const auto header = "Idempotency-Key: " + request.idempotencyKey;
@@ -166,8 +168,8 @@
                      CURLOPT_POSTFIELDSIZE_LARGE,
                      static_cast<curl_off_t>(request.body.size()));
   }
-  //! NOTE libcurl sends a request again by itself when a connection it
-  //! kept turns out dead, and cannot know whether the first copy was read.
+  // On a reused connection that turns out to be closed, libcurl sends the
+  // request again, although the upstream may have read the first copy.
   if (!request.repeatable) {
     curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
@@ -228,7 +230,7 @@
   }
 }
 
-//! Whether what follows may go to the caller.
+//! Checks the response head: whether the body may be forwarded to the caller.
 bool
 Transfer::AcceptHead()
 {
--- a/src/traffic/internal/transfer.h
+++ b/src/traffic/internal/transfer.h
@@ -12,15 +12,16 @@
 
 namespace hemlockgauge::traffic {
 
-//! One request at one upstream: the first try, and at a model engine the
-//! resumptions of its stream by request id and offset.
+//! One attempt of a request at one upstream: the first try (an HTTP request)
+//! and, at a model engine, further tries that resume its stream by request id
+//! and offset.
 class Transfer
 {
 public:
   enum class Next
   {
-    Over,  //!< Outcome() says how
-    Resume //!< make a new handle and go on
+    Over,  //!< finished; see Outcome()
+    Resume //!< open a new handle once IsDueToResume()
   };
 
   Transfer(std::shared_ptr<Exchange> aExchange,
@@ -34,17 +35,19 @@
   Exchange& Caller() { return *m_exchange; }
   CURL* Handle() const { return m_handle; }
 
-  //! Makes the handle of the next try.
+  //! Creates the libcurl handle of the next try.
   CURL* Open(base::TimePoint aNow);
   void DropHandle() { CloseHandle(); }
-  //! The try ended with aResult, or was stopped for its silence.
+  //! Evaluates a try that ended with aResult, or that was stopped because the
+  //! upstream sent nothing for the stall limit (aStalled).
   Next Finish(CURLcode aResult, bool aStalled, base::TimePoint aNow);
   bool IsStalled(base::TimePoint aNow) const;
   bool IsDueToResume(base::TimePoint aNow) const { return aNow >= m_resumeAt; }
   void Unpause();
   decision::AttemptOutcome Outcome() const { return m_outcome; }
   bool UpstreamLeaving() const { return m_leaving; }
-  //! A stream that still runs at a model engine after its caller left.
+  //! Whether the stream may still run at the model engine although the attempt
+  //! ended, so that it must be cancelled there.
   bool NeedsCancel() const;
   std::string StreamUrl() const;
 
@@ -78,7 +81,7 @@
   curl_slist* m_headers = nullptr;
   decision::AttemptOutcome m_outcome = decision::AttemptOutcome::NotSent;
 
-  // Of the current try
+  // State of the current try
   long m_status = 0;
   std::string m_contentType;
   std::string m_answerId;
@@ -89,7 +92,7 @@
   base::TimePoint m_lastByte{};
   std::uint64_t m_offsetAtStart = 0;
 
-  // Over all tries
+  // State across tries
   bool m_sent = false;
   bool m_unknownStream = false;
   bool m_leaving = false;
--- a/src/traffic/internal/upstreamworker.cpp
+++ b/src/traffic/internal/upstreamworker.cpp
@@ -104,8 +104,8 @@
   }
 }
 
-//! NOTE the order may have lain here while the process stood still, so its
-//! permission is looked at again right before the first byte goes out.
+//! The command may have waited while the process was paused, so validUntil is
+//! checked again right before the first byte is sent.
 void
 UpstreamWorker::Start(Order& aOrder)
 {
@@ -167,7 +167,7 @@
     const auto result = message->data.result;
     void* owner = nullptr;
     curl_easy_getinfo(handle, CURLINFO_PRIVATE, &owner);
-    if (owner == nullptr) { // a cancel
+    if (owner == nullptr) { // a request of CancelStream
       curl_multi_remove_handle(m_multi, handle);
       curl_easy_cleanup(handle);
       continue;
--- a/src/traffic/internal/upstreamworker.h
+++ b/src/traffic/internal/upstreamworker.h
@@ -22,7 +22,8 @@
 
 class Transfer;
 
-//! One traffic thread towards the upstreams, on libcurl's multi interface.
+//! A thread that sends requests to upstreams and reads the answers, with
+//! libcurl's multi interface.
 class UpstreamWorker
 {
 public:
@@ -41,7 +42,7 @@
 private:
   struct Order
   {
-    std::shared_ptr<Exchange> exchange; //!< null: unpause
+    std::shared_ptr<Exchange> exchange; //!< null: continue the paused transfer
     decision::SendRequest send;
   };
 
--- a/src/traffic/internal/urlescape.h
+++ b/src/traffic/internal/urlescape.h
@@ -5,7 +5,8 @@
 
 namespace hemlockgauge::traffic {
 
-//! Percent-encodes all but letters, digits, "-_.~" and aAlsoSafe.
+//! Percent-encodes every byte except letters, digits, "-_.~" and the characters
+//! in aAlsoSafe.
 std::string
 EscapeUrl(std::string_view aText, std::string_view aAlsoSafe);
 
--- a/src/traffic/itraffic.h
+++ b/src/traffic/itraffic.h
@@ -8,7 +8,7 @@
 
 namespace hemlockgauge::traffic {
 
-//! Answers of the operators' pages; called on a traffic thread.
+//! HTTP response of an admin page.
 struct AdminPage
 {
   int status = 200;
@@ -16,7 +16,8 @@
   std::string body;
 };
 
-//! What the traffic threads ask of the control thread.
+//! Interface of the control thread for the traffic threads. All methods are
+//! thread-safe.
 class IControl
 {
 public:
@@ -28,7 +29,7 @@
                           const std::string& aQuery) = 0;
 };
 
-//! The traffic threads, as the control thread sees them.
+//! Interface of the traffic threads for the control thread.
 class ITraffic
 {
 public:
@@ -38,14 +39,14 @@
   virtual void Send(const decision::SendRequest& aSend) = 0;
   virtual void Refuse(const decision::RefuseRequest& aRefusal) = 0;
   virtual void SetDocument(const decision::DocumentInForce& aDocument) = 0;
-  //! Stops taking connections; what is in progress goes on.
+  //! Stops accepting connections; requests in progress continue.
   virtual void CloseListener() = 0;
-  //! Requests whose callers have not got all of their answer.
+  //! Number of requests whose answer is not yet completely sent.
   virtual std::size_t Active() const = 0;
-  //! After CloseListener: whether nothing more can come from any caller, so
-  //! that Stop cuts nothing. To be asked again until it is so.
+  //! After CloseListener: whether all caller connections have ended, so that
+  //! Stop aborts no request. Closes idle connections, so poll it until true.
   virtual bool IsQuiet() = 0;
-  //! Ends everything; returns how many requests were cut.
+  //! Stops all threads; returns the number of requests that were aborted.
   virtual std::size_t Stop() = 0;
 };
 
--- a/src/traffic/routingtable.cpp
+++ b/src/traffic/routingtable.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-//! "/chat" is a prefix of "/chat" and "/chat/x", not of "/chatter".
+//! Matches whole path segments: "/chat" is a prefix of "/chat" and "/chat/x",
+//! not of "/chatter".
 bool
 IsPathPrefix(std::string_view aPrefix, std::string_view aPath)
 {
--- a/src/traffic/routingtable.h
+++ b/src/traffic/routingtable.h
@@ -13,23 +13,26 @@
 
 using ServicePtr = std::shared_ptr<const document::ServiceDocument>;
 
-//! A workspace a key belongs to, in one service.
+//! A workspace that owns an API key in one service.
 struct KeyOwner
 {
   ServicePtr service;
   const document::Workspace* workspace = nullptr;
 };
 
-//! Keys and paths of all documents in force; never changed once built.
+//! Immutable lookup table of the API keys and path prefixes of all service
+//! documents in force.
 class RoutingTable
 {
 public:
   explicit RoutingTable(const std::map<std::string, ServicePtr>& aServices);
 
-  //! The service with the longest prefix of the path; null if none.
+  //! Returns the service with the longest matching path prefix; null if none
+  //! matches.
   ServicePtr MatchPath(std::string_view aPath) const;
-  //! Every workspace that holds this key, by hexadecimal SHA-256.
+  //! Returns all owners of the key with this SHA-256 (hexadecimal).
   const std::vector<KeyOwner>& OwnersOf(const std::string& aDigest) const;
+  //! Whether requests to aPath are idempotent according to the document.
   static bool IsRepeatable(const document::ServiceDocument& aService,
                            std::string_view aPath);
 
--- a/src/traffic/tests/pathtests.cpp
+++ b/src/traffic/tests/pathtests.cpp
@@ -1,4 +1,4 @@
-// What a caller gets when the upstream misbehaves, over real sockets.
+// Tests over real sockets what a caller receives when an upstream misbehaves.
 
 #include "traffic/tests/trafficfixture.h"
 
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::uint64_t kTokens = 6;
-//! A silent engine's silence is longer.
+//! Stall limit of the test with a silent engine, which is silent for longer.
 constexpr int kSilenceLimitMs = 300;
 
 std::string
@@ -45,7 +45,7 @@
   return events + DoneEvent(aId);
 }
 
-//! How the first answer of a scripted engine goes wrong half-way.
+//! Fault that a scripted engine causes in the middle of its first answer.
 enum class Break
 {
   None,
@@ -55,7 +55,8 @@
   CrossedEvent
 };
 
-//! An engine that breaks its first answer and resumes by id and offset.
+//! A model engine whose first answer has a fault; resumes the stream by request
+//! id and offset.
 class ScriptedEngine
 {
 public:
@@ -146,7 +147,8 @@
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::Completed);
 }
 
-//! Sends raw bytes and reads until the server closes or is silent.
+//! Sends raw bytes and reads until the server closes the connection or sends
+//! nothing for 5 s; then the result ends in "[no end]".
 std::string
 RawExchange(std::uint16_t aPort, const std::string& aBytes)
 {
@@ -214,10 +216,10 @@
   std::atomic<int> runs{ 0 };
   TrafficFixture fixture(21050, "plain", [&](const HttpRequest& aRequest) {
     auto response = PlainAnswer(aRequest);
-    response.drop = ++runs == 3; // read and run, then closed
+    response.drop = ++runs == 3; // executed, then closed without an answer
     return response;
   });
-  // Both traffic threads have a kept connection after this.
+  // Opens a connection on both traffic threads that could be reused.
   cr_assert(fixture.Call().status == 200);
   cr_assert(fixture.Call().status == 200);
   const auto answer = fixture.Call();
@@ -364,11 +366,12 @@
     const std::string request = "GET /s/x HTTP/1.1\r\nHost: h\r\n"
                                 "Authorization: Bearer key\r\n\r\n";
     send(socket, request.data(), request.size(), MSG_NOSIGNAL);
-    std::this_thread::sleep_for(1500ms); // reads nothing
+    std::this_thread::sleep_for(
+      1500ms); // let the buffers fill; nothing is read
     close(socket);
   });
   caller.join();
-  // Socket buffers and one high-water mark, far from all of it.
+  // Only the socket buffers and one high-water mark were filled.
   cr_assert(chunks < kMost / 2, "%zu", chunks.load());
 }
 
--- a/src/traffic/tests/stoptests.cpp
+++ b/src/traffic/tests/stoptests.cpp
@@ -7,7 +7,7 @@
 using standins::HttpRequest;
 using standins::HttpResponse;
 
-//! What a planned stop does to callers.
+//! Tests that a graceful stop aborts no request.
 
 namespace {
 
@@ -18,8 +18,8 @@
   return aSize * aCount;
 }
 
-//! Sends one request after another on the connection that it keeps, until one
-//! isn't answered. Returns whether that answer had begun.
+//! Sends requests on one keep-alive connection until a request fails. Returns
+//! whether part of the failed request's answer was received.
 bool
 AskUntilUnanswered(std::uint16_t aPort, std::atomic<int>& aAnswered)
 {
@@ -48,10 +48,10 @@
 
 }
 
-// Of a planned stop one request was cut, once, beside other work: r2 logged
-// event=stopped requests_cut=1, and the load counted cut=1. The router ended as
-// soon as no request was in progress, while callers kept their connections and
-// could send the next one; what came between the look and the end was cut.
+// Guards against a graceful stop that aborts a request (requests_cut=1). It
+// happened when the router ended as soon as no request was in progress: callers
+// kept their connections open, and a request that arrived between that check
+// and the end of the process was aborted.
 Test(stop, CallersThatKeepTheirConnectionsAreNotCut)
 {
   TrafficFixture fixture(21400, "plain", [](const HttpRequest& aRequest) {
@@ -76,6 +76,6 @@
   for (auto& caller : callers) {
     caller.join();
   }
-  cr_assert(stopped == 0, "%zu cut by the stop", stopped);
-  cr_assert(cut == 0, "%d answers broke off", cut.load());
+  cr_assert(stopped == 0, "%zu requests aborted by the stop", stopped);
+  cr_assert(cut == 0, "%d answers were incomplete", cut.load());
 }
--- a/src/traffic/tests/trafficfixture.h
+++ b/src/traffic/tests/trafficfixture.h
@@ -36,7 +36,8 @@
   return false;
 }
 
-//! Places every request at one upstream at once and records how it ended.
+//! Sends each request to one fixed upstream immediately and records the outcome
+//! of each attempt.
 class ControlMock : public IControl
 {
 public:
@@ -117,11 +118,11 @@
   }
 };
 
-//! Beyond the pauses of a starved machine, which would look like silence of the
-//! upstream.
+//! Longer than the scheduling pauses of an overloaded machine, which would
+//! otherwise look like a stalled upstream.
 constexpr int kNoStallMs = 20000;
 
-//! A traffic plane before one scripted upstream.
+//! Runs a traffic plane in front of one scripted upstream.
 class TrafficFixture
 {
 public:
--- a/src/traffic/trafficmodule.h
+++ b/src/traffic/trafficmodule.h
@@ -12,7 +12,8 @@
 
 class ITraffic;
 
-//! aIncarnation makes request ids of different runs differ.
+//! aIncarnation is part of each request id, so that ids stay unique across
+//! restarts of the router.
 std::unique_ptr<ITraffic>
 MakeTraffic(const document::RouterSettings& aSettings,
             std::uint32_t aIncarnation,
--- a/src/traffic/traffictypes.h
+++ b/src/traffic/traffictypes.h
@@ -11,17 +11,18 @@
 
 namespace hemlockgauge::traffic {
 
-//! What a caller sent, and what the filters found out about it.
+//! A request as received from a caller, with the fields that the admission
+//! filters set.
 struct CallerRequest
 {
   base::RequestId id{};
-  std::string idText; //!< unique in the fleet; goes to upstream and caller
+  std::string idText; //!< unique in the fleet; sent to upstream and caller
   std::string method;
   std::string path;
   std::string query;
   std::string contentType;
-  std::string idempotencyKey; //!< passed on as it came
-  std::string bearerKey;      //!< never logged; wiped once checked
+  std::string idempotencyKey; //!< forwarded unchanged
+  std::string bearerKey;      //!< never logged; wiped after authentication
   std::string body;           //!< never logged
   std::shared_ptr<const document::ServiceDocument> service;
   const document::Workspace* workspace = nullptr;
@@ -30,13 +31,13 @@
   base::TimePoint deadline{};
 };
 
-//! An answer that this router gives itself.
+//! An error response that the router generates.
 struct Refusal
 {
   int status = 503;
   std::string reason;
   base::Verdict verdict = base::Verdict::NotRun;
-  base::Duration retryAfter{}; //!< 0: no use in coming back
+  base::Duration retryAfter{}; //!< 0: retrying is useless
 };
 
 }
--- a/src/wire/framecodec.cpp
+++ b/src/wire/framecodec.cpp
@@ -79,7 +79,10 @@
 EnumOf(std::uint8_t aValue, Enum aLast)
 {
   if (aValue > static_cast<std::uint8_t>(aLast)) {
-    throw Error(ErrorCode::BadFrame, "unknown value of an enumeration");
+    throw Error(ErrorCode::BadFrame,
+                "unknown enum value " + std::to_string(aValue) +
+                  ", expected at most " +
+                  std::to_string(static_cast<std::uint8_t>(aLast)));
   }
   return static_cast<Enum>(aValue);
 }
@@ -91,7 +94,9 @@
   in_addr ignored{};
   const bool empty = address.ip.empty() && aPort == 0;
   if (!empty && inet_pton(AF_INET, address.ip.c_str(), &ignored) != 1) {
-    throw Error(ErrorCode::BadFrame, "an address is no IP number");
+    throw Error(ErrorCode::BadFrame,
+                "address \"" + address.Text() +
+                  "\" does not contain an IPv4 address");
   }
   return address;
 }
@@ -294,12 +299,15 @@
 DecodeFrame(std::span<const std::uint8_t> aBytes)
 {
   if (aBytes.size() > kMaxFrameBytes) {
-    throw Error(ErrorCode::BadFrame, "frame too long");
+    throw Error(ErrorCode::BadFrame,
+                "frame of " + std::to_string(aBytes.size()) +
+                  " bytes exceeds the maximum of " +
+                  std::to_string(kMaxFrameBytes));
   }
   flatbuffers::Verifier verifier(
     aBytes.data(), aBytes.size(), kMaxDepth, kMaxTables);
   if (!fb::VerifyFrameBuffer(verifier)) {
-    throw Error(ErrorCode::BadFrame, "frame failed the verifier");
+    throw Error(ErrorCode::BadFrame, "frame failed FlatBuffers verification");
   }
   const auto* wire = fb::GetFrame(aBytes.data());
   decision::Frame frame;
