--- a/src/peer/internal/incominglink.cpp
+++ b/src/peer/internal/incominglink.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 16384;
-constexpr std::uint8_t kConfirmation = 1;
+constexpr std::size_t kReadBufferBytes = 16384;
+constexpr std::uint8_t kAcknowledgement = 1;
 
 }
 
 IncomingLink::IncomingLink(
   ACE_Reactor& aReactor,
   std::function<void(const std::vector<std::uint8_t>&)> aOnFrame,
-  std::function<void()> aOnBad)
+  std::function<void()> aOnBadFrame)
   : m_reactor(aReactor)
   , m_onFrame(std::move(aOnFrame))
-  , m_onBad(std::move(aOnBad))
+  , m_onBadFrame(std::move(aOnBadFrame))
 {
 }
 
@@ -53,7 +53,7 @@
 int
 IncomingLink::handle_input(ACE_HANDLE)
 {
-  std::array<std::uint8_t, kReadBytes> bytes;
+  std::array<std::uint8_t, kReadBufferBytes> bytes;
   const auto got = m_stream.recv(bytes.data(), bytes.size());
   if (got == -1 && errno == EWOULDBLOCK) {
     return 0;
@@ -66,10 +66,10 @@
     std::vector<std::uint8_t> frame;
     while (m_buffer.Next(frame)) {
       m_onFrame(frame);
-      m_stream.send(&kConfirmation, 1);
+      m_stream.send(&kAcknowledgement, 1);
     }
   } catch (const base::Error&) {
-    m_onBad();
+    m_onBadFrame();
     return -1;
   }
   return 0;
--- a/src/peer/internal/incominglink.h
+++ b/src/peer/internal/incominglink.h
@@ -16,10 +16,10 @@
 {
 public:
   //! aOnFrame handles the bytes of one frame and throws Error(BadFrame) if they
-  //! are invalid; then aOnBad is called and the connection closes.
+  //! are invalid; then aOnBadFrame is called and the connection closes.
   IncomingLink(ACE_Reactor& aReactor,
                std::function<void(const std::vector<std::uint8_t>&)> aOnFrame,
-               std::function<void()> aOnBad);
+               std::function<void()> aOnBadFrame);
 
   ACE_SOCK_Stream& Stream() { return m_stream; }
   bool Open();
@@ -33,7 +33,7 @@
 private:
   ACE_Reactor& m_reactor;
   std::function<void(const std::vector<std::uint8_t>&)> m_onFrame;
-  std::function<void()> m_onBad;
+  std::function<void()> m_onBadFrame;
   ACE_SOCK_Stream m_stream;
   framing::FrameBuffer m_buffer{ wire::kMaxFrameBytes };
   bool m_closed = false;
--- a/src/peer/internal/outgoinglink.cpp
+++ b/src/peer/internal/outgoinglink.cpp
@@ -15,9 +15,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kConfirmLimit = 2000ms;
+constexpr base::Duration kAcknowledgeTimeout = 2000ms;
 constexpr base::Duration kReconnectDelay = 300ms;
-constexpr std::size_t kMaxUnconfirmed = 64;
+constexpr std::size_t kMaxPendingFrames = 64;
 
 }
 
@@ -44,11 +44,11 @@
 void
 OutgoingLink::Send(std::vector<std::uint8_t> aBytes, base::TimePoint aNow)
 {
-  if (m_frames.size() >= kMaxUnconfirmed) {
+  if (m_pendingFrames.size() >= kMaxPendingFrames) {
     return; // the peer is down or slow; later frames repeat the state
   }
   m_lastSend = aNow;
-  m_frames.push_back({ std::move(aBytes), aNow });
+  m_pendingFrames.push_back({ std::move(aBytes), aNow });
   if (!m_open && aNow >= m_retryAt) {
     Connect();
   } else if (m_connected) {
@@ -64,7 +64,7 @@
   const ACE_Time_Value noWait(0, 0);
   const int result = connector.connect(m_stream, address, &noWait);
   if (result == -1 && errno != EWOULDBLOCK && errno != EINPROGRESS) {
-    Lose();
+    HandleLinkLost();
     return;
   }
   m_open = true;
@@ -91,7 +91,7 @@
 }
 
 void
-OutgoingLink::Lose()
+OutgoingLink::HandleLinkLost()
 {
   Close();
   m_retryAt = m_lastSend + kReconnectDelay;
@@ -101,8 +101,8 @@
 void
 OutgoingLink::Write()
 {
-  while (m_nextFrame < m_frames.size()) {
-    const auto& bytes = m_frames[m_nextFrame].bytes;
+  while (m_nextFrame < m_pendingFrames.size()) {
+    const auto& bytes = m_pendingFrames[m_nextFrame].bytes;
     const auto sent =
       m_stream.send(bytes.data() + m_offset, bytes.size() - m_offset);
     if (sent <= 0) {
@@ -110,7 +110,7 @@
         m_reactor.schedule_wakeup(this, ACE_Event_Handler::WRITE_MASK);
         return;
       }
-      Lose();
+      HandleLinkLost();
       return;
     }
     m_offset += static_cast<std::size_t>(sent);
@@ -136,29 +136,29 @@
   std::array<std::uint8_t, 256> bytes{};
   const auto got = m_stream.recv(bytes.data(), bytes.size());
   if (got > 0) {
-    TakeConfirmations(static_cast<std::size_t>(got));
+    HandleAcknowledgements(static_cast<std::size_t>(got));
   } else if (got == 0 || errno != EWOULDBLOCK) {
-    Lose();
+    HandleLinkLost();
   }
   return 0;
 }
 
 void
-OutgoingLink::TakeConfirmations(std::size_t aCount)
+OutgoingLink::HandleAcknowledgements(std::size_t aCount)
 {
   for (std::size_t i = 0; i < aCount && m_nextFrame > 0; ++i) {
-    m_frames.pop_front();
+    m_pendingFrames.pop_front();
     m_nextFrame--;
   }
 }
 
 void
-OutgoingLink::Review(base::TimePoint aNow)
+OutgoingLink::EnforceTimeouts(base::TimePoint aNow)
 {
-  if (m_frames.empty()) {
+  if (m_pendingFrames.empty()) {
     return;
   }
-  const bool late = aNow - m_frames.front().sent > kConfirmLimit;
+  const bool late = aNow - m_pendingFrames.front().sent > kAcknowledgeTimeout;
   if (m_open && !late) {
     return;
   }
@@ -166,18 +166,18 @@
     return;
   }
   if (m_open) {
-    Lose();
+    HandleLinkLost();
   }
   // Frames older than this are outdated. The others are sent again; the peer
   // drops those that it already has by their sequence number.
-  while (!m_frames.empty() &&
-         aNow - m_frames.front().sent > 2 * kConfirmLimit) {
-    m_frames.pop_front();
+  while (!m_pendingFrames.empty() &&
+         aNow - m_pendingFrames.front().sent > 2 * kAcknowledgeTimeout) {
+    m_pendingFrames.pop_front();
   }
-  for (auto& frame : m_frames) {
-    frame.sent = std::max(frame.sent, aNow - kConfirmLimit);
+  for (auto& frame : m_pendingFrames) {
+    frame.sent = std::max(frame.sent, aNow - kAcknowledgeTimeout);
   }
-  if (!m_frames.empty()) {
+  if (!m_pendingFrames.empty()) {
     Connect();
   }
 }
--- a/src/peer/internal/outgoinglink.h
+++ b/src/peer/internal/outgoinglink.h
@@ -27,7 +27,7 @@
   void Send(std::vector<std::uint8_t> aBytes, base::TimePoint aNow);
   //! Reconnects if the oldest frame was not acknowledged in time, or if the
   //! connection is closed and the reconnect delay has passed.
-  void Review(base::TimePoint aNow);
+  void EnforceTimeouts(base::TimePoint aNow);
   bool IsIdleSince(base::TimePoint aTime) const { return m_lastSend < aTime; }
 
   ACE_HANDLE get_handle() const override;
@@ -35,7 +35,7 @@
   int handle_input(ACE_HANDLE aHandle) override;
 
 private:
-  struct Unconfirmed
+  struct PendingFrame
   {
     std::vector<std::uint8_t> bytes;
     base::TimePoint sent{};
@@ -43,9 +43,9 @@
 
   void Connect();
   void Close();
-  void Lose();
+  void HandleLinkLost();
   void Write();
-  void TakeConfirmations(std::size_t aCount);
+  void HandleAcknowledgements(std::size_t aCount);
 
   ACE_Reactor& m_reactor;
   base::Address m_address;
@@ -53,7 +53,7 @@
   ACE_SOCK_Stream m_stream;
   bool m_open = false;
   bool m_connected = false;
-  std::deque<Unconfirmed> m_frames;
+  std::deque<PendingFrame> m_pendingFrames;
   std::size_t m_nextFrame = 0;
   std::size_t m_offset = 0;
   base::TimePoint m_lastSend{};
--- a/src/peer/internal/tcppeertransport.cpp
+++ b/src/peer/internal/tcppeertransport.cpp
@@ -16,9 +16,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kReviewPeriod = 200ms;
-constexpr base::Duration kIdleLimit = 60000ms;
-constexpr std::size_t kMaxIncoming = 2048;
+constexpr base::Duration kTimeoutCheckInterval = 200ms;
+constexpr base::Duration kIdleTimeout = 60000ms;
+constexpr std::size_t kMaxIncomingLinks = 2048;
 constexpr int kBacklog = 512;
 
 }
@@ -50,7 +50,7 @@
   m_acceptor.enable(ACE_NONBLOCK);
   m_reactor.register_handler(this, ACCEPT_MASK);
   m_listening = true;
-  m_timers.Subscribe(kReviewPeriod, [this] { Review(); });
+  m_timers.Subscribe(kTimeoutCheckInterval, [this] { EnforceTimeouts(); });
 }
 
 ACE_HANDLE
@@ -66,17 +66,17 @@
     auto frame = wire::DecodeFrame(aBytes);
     m_onFrame(std::move(frame), aBytes.size());
   };
-  const auto onBad = [this] {
+  const auto onBadFrame = [this] {
     m_badFrames++;
     base::LogLine("bad-frame").Add("count", m_badFrames).Warn();
   };
-  auto link = std::make_unique<IncomingLink>(m_reactor, onFrame, onBad);
+  auto link = std::make_unique<IncomingLink>(m_reactor, onFrame, onBadFrame);
   const ACE_Time_Value noWait(0, 0);
   ACE_Time_Value timeout = noWait;
   if (m_acceptor.accept(link->Stream(), nullptr, &timeout) == -1) {
     return 0;
   }
-  if (m_incoming.size() >= kMaxIncoming || !link->Open()) {
+  if (m_incoming.size() >= kMaxIncomingLinks || !link->Open()) {
     link->Stream().close();
     return 0;
   }
@@ -98,14 +98,14 @@
 }
 
 void
-TcpPeerTransport::Review()
+TcpPeerTransport::EnforceTimeouts()
 {
   const auto now = m_timers.Now();
   for (auto& [address, link] : m_outgoing) {
-    link->Review(now);
+    link->EnforceTimeouts(now);
   }
   std::erase_if(m_outgoing, [&](const auto& aOne) {
-    return aOne.second->IsIdleSince(now - kIdleLimit);
+    return aOne.second->IsIdleSince(now - kIdleTimeout);
   });
   std::erase_if(m_incoming,
                 [](const auto& aLink) { return aLink->IsClosed(); });
--- a/src/peer/internal/tcppeertransport.h
+++ b/src/peer/internal/tcppeertransport.h
@@ -40,7 +40,7 @@
   int handle_input(ACE_HANDLE aHandle) override;
 
 private:
-  void Review();
+  void EnforceTimeouts();
 
   ACE_Reactor& m_reactor;
   timer::ITimerService& m_timers;
--- a/src/peer/ipeertransport.h
+++ b/src/peer/ipeertransport.h
@@ -27,6 +27,7 @@
                     const base::Address& aAddress,
                     const decision::Frame& aFrame) = 0;
   virtual void Close() = 0;
+  //! Number of received frames that were invalid.
   virtual std::uint64_t BadFrames() const = 0;
 };
 
--- a/src/platform/internal/httpget.cpp
+++ b/src/platform/internal/httpget.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxBody = 8 << 20;
+constexpr std::size_t kMaxBodyBytes = 8 << 20;
 constexpr std::string_view kRevisionHeader = "X-Revision:";
 
 std::size_t
-TakeBody(char* aData, std::size_t aSize, std::size_t aCount, void* aUser)
+AppendBody(char* aData, std::size_t aSize, std::size_t aCount, void* aUser)
 {
   auto& answer = *static_cast<HttpAnswer*>(aUser);
-  if (answer.body.size() + aSize * aCount > kMaxBody) {
+  if (answer.body.size() + aSize * aCount > kMaxBodyBytes) {
     return 0;
   }
   answer.body.append(aData, aSize * aCount);
@@ -28,7 +28,7 @@
 }
 
 std::size_t
-TakeHeader(char* aData, std::size_t aSize, std::size_t aCount, void* aUser)
+ParseHeader(char* aData, std::size_t aSize, std::size_t aCount, void* aUser)
 {
   const std::string line(aData, aSize * aCount);
   if (strncasecmp(
@@ -40,7 +40,7 @@
 }
 
 int
-WatchStop(void* aUser, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
+AbortIfStopped(void* aUser, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
 {
   return static_cast<const std::atomic<bool>*>(aUser)->load() ? 1 : 0;
 }
@@ -50,7 +50,7 @@
 HttpAnswer
 HttpGet(const base::Address& aAddress,
         const std::string& aPath,
-        base::Duration aLimit,
+        base::Duration aTimeout,
         const std::atomic<bool>& aStop)
 {
   const std::unique_ptr<CURL, void (*)(CURL*)> handle(curl_easy_init(),
@@ -61,14 +61,15 @@
   curl_easy_setopt(curl, CURLOPT_URL, url.c_str());
   curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(curl, CURLOPT_PROXY, "");
-  curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, static_cast<long>(aLimit.count()));
+  curl_easy_setopt(
+    curl, CURLOPT_TIMEOUT_MS, static_cast<long>(aTimeout.count()));
   curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, 1000L);
-  curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, TakeBody);
+  curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, AppendBody);
   curl_easy_setopt(curl, CURLOPT_WRITEDATA, &answer);
-  curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, TakeHeader);
+  curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, ParseHeader);
   curl_easy_setopt(curl, CURLOPT_HEADERDATA, &answer);
   curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
-  curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, WatchStop);
+  curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, AbortIfStopped);
   curl_easy_setopt(curl, CURLOPT_XFERINFODATA, &aStop);
   const auto result = curl_easy_perform(curl);
   long status = 0;
--- a/src/platform/internal/httpget.h
+++ b/src/platform/internal/httpget.h
@@ -18,11 +18,11 @@
 
 //! Sends a GET request on a new connection. Throws Error(Refused) if the
 //! connection is refused, Error(Unreachable) on any other failure, on a status
-//! other than 200 and after aLimit. Aborts when aStop becomes true.
+//! other than 200 and after aTimeout. Aborts when aStop becomes true.
 HttpAnswer
 HttpGet(const base::Address& aAddress,
         const std::string& aPath,
-        base::Duration aLimit,
+        base::Duration aTimeout,
         const std::atomic<bool>& aStop);
 
 }
--- a/src/platform/internal/platformclient.cpp
+++ b/src/platform/internal/platformclient.cpp
@@ -11,16 +11,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kReadLimit = 3000ms;
-constexpr base::Duration kWatchWait = 10000ms;
-constexpr base::Duration kWatchSlack = 2000ms;
-constexpr base::Duration kHostPeriod = 1000ms;
-constexpr base::Duration kFailurePause = 500ms;
+constexpr base::Duration kReadTimeout = 3000ms;
+constexpr base::Duration kMaxWatchWait = 10000ms;
+constexpr base::Duration kWatchTimeoutMargin = 2000ms;
+constexpr base::Duration kHostPollInterval = 1000ms;
+constexpr base::Duration kRetryDelay = 500ms;
 //! Poll interval of routers that do not watch; they receive changes from the
 //! routers that do.
-constexpr base::Duration kSlowReadPeriod = 60000ms;
-constexpr base::Duration kLoadLimit = 800ms;
-constexpr std::size_t kMaxPolls = 1024;
+constexpr base::Duration kUnwatchedPollInterval = 60000ms;
+constexpr base::Duration kLoadTimeout = 800ms;
+constexpr std::size_t kMaxQueuedPolls = 1024;
 
 std::int64_t
 NowMillis()
@@ -49,7 +49,7 @@
   m_documents = std::thread([this] { RunDocuments(); });
   m_hosts = std::thread([this] { RunHosts(); });
   m_loads = std::thread([this] { RunLoads(); });
-  m_lookers = std::thread([this] { RunChecks(); });
+  m_checker = std::thread([this] { RunChecks(); });
 }
 
 void
@@ -57,7 +57,7 @@
 {
   m_stop = true;
   m_wake.notify_all();
-  for (auto* thread : { &m_documents, &m_hosts, &m_loads, &m_lookers }) {
+  for (auto* thread : { &m_documents, &m_hosts, &m_loads, &m_checker }) {
     if (thread->joinable()) {
       thread->join();
     }
@@ -75,7 +75,7 @@
 PlatformClient::PollLoad(const decision::PollLoad& aPoll)
 {
   const std::lock_guard lock(m_mutex);
-  if (m_polls.size() < kMaxPolls) {
+  if (m_polls.size() < kMaxQueuedPolls) {
     m_polls.push_back(aPoll);
     m_wake.notify_all();
   }
@@ -85,7 +85,7 @@
 PlatformClient::CheckUpstream(const decision::CheckUpstream& aCheck)
 {
   const std::lock_guard lock(m_mutex);
-  if (m_checks.size() < kMaxPolls) {
+  if (m_checks.size() < kMaxQueuedPolls) {
     m_checks.push_back(aCheck);
     m_wake.notify_all();
   }
@@ -98,13 +98,13 @@
 }
 
 void
-PlatformClient::NoteAnswer()
+PlatformClient::RecordAnswer()
 {
   m_lastAnswer = NowMillis();
 }
 
 void
-PlatformClient::NoteFailure(const char* aWhat, const std::string& aWhy)
+PlatformClient::LogFailure(const char* aWhat, const std::string& aWhy)
 {
   base::LogLine("platform-unreachable")
     .Add("what", aWhat)
@@ -127,14 +127,14 @@
   while (!m_stop) {
     try {
       const bool watch = m_watching && m_version != 0;
-      ReadDocuments(watch ? m_version : 0, watch ? kWatchWait : 0ms);
+      ReadDocuments(watch ? m_version : 0, watch ? kMaxWatchWait : 0ms);
       if (!m_watching) {
-        Pause(kSlowReadPeriod);
+        Pause(kUnwatchedPollInterval);
       }
     } catch (const base::Error& error) {
       if (!m_stop) {
-        NoteFailure("documents", error.what());
-        Pause(kFailurePause);
+        LogFailure("documents", error.what());
+        Pause(kRetryDelay);
       }
     }
   }
@@ -146,18 +146,18 @@
   const auto path = aAfter == 0 ? std::string("/v1/config")
                                 : "/v1/watch?after=" + std::to_string(aAfter) +
                                     "&wait_ms=" + std::to_string(aWait.count());
-  const auto limit = aAfter == 0 ? kReadLimit : aWait + kWatchSlack;
+  const auto timeout = aAfter == 0 ? kReadTimeout : aWait + kWatchTimeoutMargin;
   const auto list =
-    ParseDocumentList(HttpGet(m_platform, path, limit, m_stop).body);
-  NoteAnswer();
+    ParseDocumentList(HttpGet(m_platform, path, timeout, m_stop).body);
+  RecordAnswer();
   for (const auto& document : list.documents) {
-    if (m_read[document.name] >= document.revision) {
+    if (m_readRevisions[document.name] >= document.revision) {
       continue;
     }
     auto answer =
-      HttpGet(m_platform, "/v1/config/" + document.name, kReadLimit, m_stop);
+      HttpGet(m_platform, "/v1/config/" + document.name, kReadTimeout, m_stop);
     const auto revision = answer.revision.value_or(document.revision);
-    m_read[document.name] = revision;
+    m_readRevisions[document.name] = revision;
     m_post(decision::DocumentRead{ document.name, revision, answer.body });
   }
   m_version = list.version;
@@ -169,13 +169,13 @@
   while (!m_stop) {
     try {
       m_post(ParseHostList(
-        HttpGet(m_platform, "/v1/hosts", kReadLimit, m_stop).body));
-      NoteAnswer();
-      Pause(m_watching ? kHostPeriod : kSlowReadPeriod);
+        HttpGet(m_platform, "/v1/hosts", kReadTimeout, m_stop).body));
+      RecordAnswer();
+      Pause(m_watching ? kHostPollInterval : kUnwatchedPollInterval);
     } catch (const base::Error& error) {
       if (!m_stop) {
-        NoteFailure("hosts", error.what());
-        Pause(kFailurePause);
+        LogFailure("hosts", error.what());
+        Pause(kRetryDelay);
       }
     }
   }
@@ -196,9 +196,9 @@
       m_polls.pop_front();
     }
     try {
-      m_post(
-        ParseLoad(poll.upstream,
-                  HttpGet(poll.address, "/v1/load", kLoadLimit, m_stop).body));
+      m_post(ParseLoad(
+        poll.upstream,
+        HttpGet(poll.address, "/v1/load", kLoadTimeout, m_stop).body));
     } catch (const base::Error&) {
       // Without a load report the slot owner keeps its current leases.
     }
@@ -222,7 +222,7 @@
     }
     auto result = CheckResult::Lives;
     try {
-      HttpGet(check.address, "/v1/load", kLoadLimit, m_stop);
+      HttpGet(check.address, "/v1/load", kLoadTimeout, m_stop);
     } catch (const base::Error& error) {
       const bool refused = error.Code() == base::ErrorCode::Refused;
       result = refused ? CheckResult::Crashed : CheckResult::Unknown;
--- a/src/platform/internal/platformclient.h
+++ b/src/platform/internal/platformclient.h
@@ -35,8 +35,8 @@
   void RunLoads();
   void RunChecks();
   void ReadDocuments(std::uint64_t aAfter, base::Duration aWait);
-  void NoteAnswer();
-  void NoteFailure(const char* aWhat, const std::string& aWhy);
+  void RecordAnswer();
+  void LogFailure(const char* aWhat, const std::string& aWhy);
   //! Sleeps for aTime; returns early on Stop or when SetWatching changes the
   //! mode.
   void Pause(base::Duration aTime);
@@ -47,7 +47,7 @@
   std::atomic<bool> m_watching{ true };
   std::atomic<std::int64_t> m_lastAnswer{ INT64_MIN / 2 };
   std::uint64_t m_version = 0;
-  std::map<std::string, std::uint64_t> m_read;
+  std::map<std::string, std::uint64_t> m_readRevisions;
   std::mutex m_mutex;
   std::condition_variable m_wake;
   std::deque<decision::PollLoad> m_polls;
@@ -55,7 +55,7 @@
   std::thread m_documents;
   std::thread m_hosts;
   std::thread m_loads;
-  std::thread m_lookers;
+  std::thread m_checker;
 };
 
 }
--- a/src/platform/iplatformclient.h
+++ b/src/platform/iplatformclient.h
@@ -19,6 +19,7 @@
   //! Watches the platform for changes (true) or polls it at a long interval
   //! (false).
   virtual void SetWatching(bool aOn) = 0;
+  //! Queues a load query; posts LoadReported if the upstream answers.
   virtual void PollLoad(const decision::PollLoad& aPoll) = 0;
   //! Checks whether an upstream still listens; posts UpstreamChecked.
   virtual void CheckUpstream(const decision::CheckUpstream& aCheck) = 0;
--- a/src/router/internal/control.cpp
+++ b/src/router/internal/control.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int kTicksPerStatus = 5;
-constexpr int kExitCut = 2;
+constexpr int kTicksPerStatusUpdate = 5;
+constexpr int kExitRequestsAborted = 2;
 std::atomic<int> stopRequests{ 0 };
 
 decision::CoreSettings
@@ -42,9 +42,9 @@
 
 Control::Control(const document::RouterSettings& aSettings,
                  std::uint32_t aIncarnation,
-                 const ControlParts& aParts)
+                 const ControlServices& aServices)
   : m_settings(aSettings)
-  , m_parts(aParts)
+  , m_services(aServices)
   , m_log(fmt::format("{}-{:x}-", aSettings.id, aIncarnation))
   , m_core(CoreSettingsOf(aSettings, aIncarnation))
   , m_status(std::make_shared<const decision::CoreStatus>())
@@ -62,7 +62,7 @@
 void
 Control::Start()
 {
-  m_parts.peers.Listen(
+  m_services.peers.Listen(
     m_settings.peerListen,
     [this](decision::Frame aFrame, std::size_t aBytes) {
       Step(decision::FrameReceived{ std::move(aFrame), aBytes });
@@ -70,17 +70,17 @@
     [this](decision::RouterId aRouter) {
       Post(decision::LinkLost{ aRouter });
     });
-  m_parts.traffic.Start(*this);
-  m_parts.timers.Subscribe(decision::kTickPeriod, [this] { Tick(); });
-  m_parts.platform.Start(
+  m_services.traffic.Start(*this);
+  m_services.timers.Subscribe(decision::kTickPeriod, [this] { Tick(); });
+  m_services.platform.Start(
     [this](decision::Event aEvent) { Post(std::move(aEvent)); });
 }
 
 int
 Control::Run()
 {
-  while (!m_over) {
-    m_parts.reactor.handle_events();
+  while (!m_finished) {
+    m_services.reactor.handle_events();
   }
   return m_exitCode;
 }
@@ -96,7 +96,7 @@
     m_notified = true;
   }
   if (notify) {
-    m_parts.reactor.notify(this, ACE_Event_Handler::EXCEPT_MASK);
+    m_services.reactor.notify(this, ACE_Event_Handler::EXCEPT_MASK);
   }
 }
 
@@ -118,9 +118,9 @@
 void
 Control::Step(const decision::Event& aEvent)
 {
-  const auto actions = m_core.Step(m_parts.timers.Now(), aEvent);
+  const auto actions = m_core.Step(m_services.timers.Now(), aEvent);
   for (const auto& action : actions) {
-    std::visit([this](const auto& aOne) { Carry(aOne); }, action);
+    std::visit([this](const auto& aOne) { Execute(aOne); }, action);
   }
 }
 
@@ -128,10 +128,10 @@
 Control::Tick()
 {
   Step(decision::Tick{});
-  if (++m_ticks % kTicksPerStatus == 0) {
+  if (++m_ticks % kTicksPerStatusUpdate == 0) {
     PublishStatus();
   }
-  FollowStop();
+  AdvanceStop();
   base::FlushLog();
 }
 
@@ -140,13 +140,13 @@
 //! and ends after the last answer. After a second signal or stopLimit: aborts
 //! the remaining requests and logs their number.
 void
-Control::FollowStop()
+Control::AdvanceStop()
 {
   const int requests = stopRequests;
   if (requests == 0) {
     return;
   }
-  const auto now = m_parts.timers.Now();
+  const auto now = m_services.timers.Now();
   if (!m_stopping) {
     m_stopping = true;
     m_stopAt = now;
@@ -157,20 +157,21 @@
   const bool noticed = now - m_stopAt >= m_settings.drainNotice;
   if (noticed && !m_listenerClosed) {
     m_listenerClosed = true;
-    m_parts.traffic.CloseListener();
+    m_services.traffic.CloseListener();
     LogLine("listener-closed").Info();
   }
-  const bool done = m_listenerClosed && m_drained && m_parts.traffic.IsQuiet();
+  const bool done =
+    m_listenerClosed && m_drained && m_services.traffic.IsDrained();
   const bool mustCut = requests > 1 || now - m_stopAt >= m_settings.stopLimit;
   if (!done && !mustCut) {
     return;
   }
-  const auto cut = m_parts.traffic.Stop();
+  const auto aborted = m_services.traffic.Stop();
   LogLine("stopped")
-    .Add("requests_cut", static_cast<std::uint64_t>(cut))
+    .Add("requests_cut", static_cast<std::uint64_t>(aborted))
     .Info();
-  m_exitCode = cut == 0 ? 0 : kExitCut;
-  m_over = true;
+  m_exitCode = aborted == 0 ? 0 : kExitRequestsAborted;
+  m_finished = true;
 }
 
 void
@@ -179,7 +180,7 @@
   auto status = std::make_shared<const decision::CoreStatus>(m_core.Status());
   const auto& counters = status->counters;
   const auto set = [&](const char* aName, std::uint64_t aValue) {
-    m_parts.metrics.Set(aName, static_cast<double>(aValue));
+    m_services.metrics.Set(aName, static_cast<double>(aValue));
   };
   set("queued", status->queued);
   set("running", status->running);
@@ -187,7 +188,7 @@
   set("control_bytes_received", counters.bytesReceived);
   set("control_frames_deferred", counters.framesDeferred);
   set("invariants_broken", counters.invariantsBroken);
-  set("bad_frames", m_parts.peers.BadFrames());
+  set("bad_frames", m_services.peers.BadFrames());
   const std::lock_guard lock(m_statusMutex);
   m_status = std::move(status);
 }
@@ -200,17 +201,18 @@
     const std::lock_guard lock(m_statusMutex);
     status = m_status;
   }
-  return { 200,
-           "application/json",
-           StatusJson(
-             *status, m_settings.id, m_ready, m_parts.platform.AnswerAge()) };
+  return {
+    200,
+    "application/json",
+    StatusJson(*status, m_settings.id, m_ready, m_services.platform.AnswerAge())
+  };
 }
 
 traffic::AdminPage
-Control::Admin(const std::string& aPath, const std::string& aQuery)
+Control::RenderAdminPage(const std::string& aPath, const std::string& aQuery)
 {
   if (aPath == "/metrics") {
-    return { 200, "text/plain; version=0.0.4", m_parts.metrics.Text() };
+    return { 200, "text/plain; version=0.0.4", m_services.metrics.Text() };
   }
   if (aPath == "/healthz") {
     return { 200, "text/plain", "ok\n" };
@@ -233,38 +235,38 @@
 }
 
 void
-Control::Carry(const decision::SendRequest& aAction)
+Control::Execute(const decision::SendRequest& aAction)
 {
-  m_parts.traffic.Send(aAction);
+  m_services.traffic.Send(aAction);
 }
 
 void
-Control::Carry(const decision::RefuseRequest& aAction)
+Control::Execute(const decision::RefuseRequest& aAction)
 {
-  m_parts.traffic.Refuse(aAction);
+  m_services.traffic.Refuse(aAction);
 }
 
 void
-Control::Carry(const decision::SendFrame& aAction)
+Control::Execute(const decision::SendFrame& aAction)
 {
-  m_parts.peers.Send(aAction.router, aAction.address, aAction.frame);
+  m_services.peers.Send(aAction.router, aAction.address, aAction.frame);
 }
 
 void
-Control::Carry(const decision::DocumentInForce& aAction)
+Control::Execute(const decision::DocumentInForce& aAction)
 {
   LogLine("document-in-force")
     .Add("service", aAction.document->name)
     .Add("revision", aAction.revision)
     .Info();
-  m_parts.traffic.SetDocument(aAction);
+  m_services.traffic.SetDocument(aAction);
   m_ready = !m_stopping;
 }
 
 void
-Control::Carry(const decision::DocumentRefused& aAction)
+Control::Execute(const decision::DocumentRefused& aAction)
 {
-  m_parts.metrics.Count("documents_refused_total");
+  m_services.metrics.Count("documents_refused_total");
   LogLine("document-refused")
     .Add("service", aAction.name)
     .Add("revision", aAction.revision)
@@ -273,38 +275,38 @@
 }
 
 void
-Control::Carry(const decision::WatchPlatform& aAction)
+Control::Execute(const decision::WatchPlatform& aAction)
 {
   LogLine("watch-platform").Add("on", aAction.on ? "yes" : "no").Info();
-  m_parts.platform.SetWatching(aAction.on);
+  m_services.platform.SetWatching(aAction.on);
 }
 
 void
-Control::Carry(const decision::PollLoad& aAction)
+Control::Execute(const decision::PollLoad& aAction)
 {
-  m_parts.platform.PollLoad(aAction);
+  m_services.platform.PollLoad(aAction);
 }
 
 void
-Control::Carry(const decision::CheckUpstream& aAction)
+Control::Execute(const decision::CheckUpstream& aAction)
 {
-  m_parts.platform.CheckUpstream(aAction);
+  m_services.platform.CheckUpstream(aAction);
 }
 
 void
-Control::Carry(const decision::Drained&)
+Control::Execute(const decision::Drained&)
 {
   m_drained = true;
   LogLine("drained").Info();
 }
 
 void
-Control::Carry(const decision::DecisionRecord& aAction)
+Control::Execute(const decision::DecisionRecord& aAction)
 {
-  m_parts.metrics.Count(
+  m_services.metrics.Count(
     fmt::format("decisions_total{{kind=\"{}\"}}",
                 decision::kDecisionKindNames.NameOf(aAction.kind)));
-  m_log.Take(aAction);
+  m_log.Record(aAction);
 }
 
 }
--- a/src/router/internal/control.h
+++ b/src/router/internal/control.h
@@ -28,7 +28,7 @@
 namespace hemlockgauge::router {
 
 //! Services that Control uses; they must outlive it.
-struct ControlParts
+struct ControlServices
 {
   ACE_Reactor& reactor;
   timer::ITimerService& timers;
@@ -47,7 +47,7 @@
 public:
   Control(const document::RouterSettings& aSettings,
           std::uint32_t aIncarnation,
-          const ControlParts& aParts);
+          const ControlServices& aServices);
   ~Control() override;
 
   void Start();
@@ -59,31 +59,31 @@
 
   void Post(decision::Event aEvent) override;
   bool IsReady() const override { return m_ready; }
-  traffic::AdminPage Admin(const std::string& aPath,
-                           const std::string& aQuery) override;
+  traffic::AdminPage RenderAdminPage(const std::string& aPath,
+                                     const std::string& aQuery) override;
 
   int handle_exception(ACE_HANDLE aHandle) override;
 
 private:
   void Step(const decision::Event& aEvent);
   void Tick();
-  void FollowStop();
+  void AdvanceStop();
   void PublishStatus();
   traffic::AdminPage StatusPage();
 
-  void Carry(const decision::SendRequest& aAction);
-  void Carry(const decision::RefuseRequest& aAction);
-  void Carry(const decision::SendFrame& aAction);
-  void Carry(const decision::DocumentInForce& aAction);
-  void Carry(const decision::DocumentRefused& aAction);
-  void Carry(const decision::WatchPlatform& aAction);
-  void Carry(const decision::PollLoad& aAction);
-  void Carry(const decision::CheckUpstream& aAction);
-  void Carry(const decision::Drained& aAction);
-  void Carry(const decision::DecisionRecord& aAction);
+  void Execute(const decision::SendRequest& aAction);
+  void Execute(const decision::RefuseRequest& aAction);
+  void Execute(const decision::SendFrame& aAction);
+  void Execute(const decision::DocumentInForce& aAction);
+  void Execute(const decision::DocumentRefused& aAction);
+  void Execute(const decision::WatchPlatform& aAction);
+  void Execute(const decision::PollLoad& aAction);
+  void Execute(const decision::CheckUpstream& aAction);
+  void Execute(const decision::Drained& aAction);
+  void Execute(const decision::DecisionRecord& aAction);
 
   const document::RouterSettings& m_settings;
-  ControlParts m_parts;
+  ControlServices m_services;
   DecisionLog m_log;
   decision::DecisionCore m_core;
   std::mutex m_mutex;
@@ -98,7 +98,7 @@
   bool m_drained = false;
   base::TimePoint m_stopAt{};
   int m_exitCode = 0;
-  bool m_over = false;
+  bool m_finished = false;
 };
 
 }
--- a/src/router/internal/decisionlog.cpp
+++ b/src/router/internal/decisionlog.cpp
@@ -35,7 +35,7 @@
 }
 
 void
-DecisionLog::Take(const decision::DecisionRecord& aRecord)
+DecisionLog::Record(const decision::DecisionRecord& aRecord)
 {
   base::LogLine line(decision::kDecisionKindNames.NameOf(aRecord.kind));
   std::string id;
@@ -61,12 +61,12 @@
   const std::lock_guard lock(m_mutex);
   auto& lines = m_lines[id];
   if (lines.empty()) {
-    m_order.push_back(id);
+    m_requestOrder.push_back(id);
   }
   lines.push_back("time_ms=" + WallClock() + " " + line.Text());
-  if (m_order.size() > kKeptRequests) {
-    m_lines.erase(m_order.front());
-    m_order.pop_front();
+  if (m_requestOrder.size() > kMaxRequests) {
+    m_lines.erase(m_requestOrder.front());
+    m_requestOrder.pop_front();
   }
 }
 
--- a/src/router/internal/decisionlog.h
+++ b/src/router/internal/decisionlog.h
@@ -10,24 +10,24 @@
 
 namespace hemlockgauge::router {
 
-//! Logs each decision and keeps the log lines of the last kKeptRequests
+//! Logs each decision and keeps the log lines of the last kMaxRequests
 //! requests.
 class DecisionLog
 {
 public:
   explicit DecisionLog(std::string aRequestPrefix);
 
-  void Take(const decision::DecisionRecord& aRecord);
+  void Record(const decision::DecisionRecord& aRecord);
   //! The log lines of one request, oldest first.
   std::vector<std::string> Explain(const std::string& aRequestId) const;
 
 private:
-  static constexpr std::size_t kKeptRequests = 20000;
+  static constexpr std::size_t kMaxRequests = 20000;
 
   std::string m_prefix;
   mutable std::mutex m_mutex;
   std::unordered_map<std::string, std::vector<std::string>> m_lines;
-  std::deque<std::string> m_order;
+  std::deque<std::string> m_requestOrder;
 };
 
 }
--- a/src/router/routermodule.cpp
+++ b/src/router/routermodule.cpp
@@ -56,9 +56,9 @@
   const auto peers = peer::MakePeerTransport(reactor, *timers);
   const auto platform = platform::MakePlatformClient(aSettings.platform);
   const auto traffic = traffic::MakeTraffic(aSettings, incarnation, metrics);
-  const ControlParts parts{ reactor,   *timers,  *peers,
-                            *platform, *traffic, metrics };
-  Control control(aSettings, incarnation, parts);
+  const ControlServices services{ reactor,   *timers,  *peers,
+                                  *platform, *traffic, metrics };
+  Control control(aSettings, incarnation, services);
   control.Start();
   base::LogLine("started")
     .Add("router", aSettings.id)
--- a/src/traffic/internal/admissionfilters.cpp
+++ b/src/traffic/internal/admissionfilters.cpp
@@ -42,7 +42,7 @@
   }
   const auto digest = Sha256Hex(aRequest.bearerKey);
   aRequest.bearerKey.clear();
-  for (const auto& owner : aTable.OwnersOf(digest)) {
+  for (const auto& owner : aTable.FindKeyOwners(digest)) {
     if (owner.service == aRequest.service) {
       aRequest.workspace = owner.workspace;
       return std::nullopt;
--- a/src/traffic/internal/answerreader.cpp
+++ b/src/traffic/internal/answerreader.cpp
@@ -12,7 +12,7 @@
 //! Returns the value of the first line that starts with aName ("id:"); empty if
 //! the event has no such line.
 std::string_view
-FieldOf(std::string_view aEvent, std::string_view aName)
+FieldValue(std::string_view aEvent, std::string_view aName)
 {
   while (!aEvent.empty()) {
     const auto end = aEvent.find('\n');
@@ -35,10 +35,10 @@
 }
 
 bool
-PlainAnswer::Take(std::string_view aBytes, std::string& aOut)
+PlainAnswer::Consume(std::string_view aBytes, std::string& aOut)
 {
   aOut.append(aBytes);
-  m_passed += aBytes.size();
+  m_forwardedBytes += aBytes.size();
   return true;
 }
 
@@ -48,7 +48,7 @@
 }
 
 bool
-EventStreamAnswer::Take(std::string_view aBytes, std::string& aOut)
+EventStreamAnswer::Consume(std::string_view aBytes, std::string& aOut)
 {
   m_pending.append(aBytes);
   std::size_t start = 0;
@@ -59,7 +59,7 @@
     }
     const auto event = std::string_view(m_pending).substr(start, end - start);
     start = end + kEventEnd.size();
-    if (!TakeEvent(event, aOut)) {
+    if (!ConsumeEvent(event, aOut)) {
       return false;
     }
   }
@@ -68,12 +68,12 @@
 }
 
 bool
-EventStreamAnswer::TakeEvent(std::string_view aEvent, std::string& aOut)
+EventStreamAnswer::ConsumeEvent(std::string_view aEvent, std::string& aOut)
 {
   if (aEvent.starts_with(':')) {
     return true; // a comment line, sent as keep-alive
   }
-  const auto id = FieldOf(aEvent, "id:");
+  const auto id = FieldValue(aEvent, "id:");
   const auto slash = id.rfind('/');
   if (slash == std::string_view::npos || id.substr(0, slash) != m_requestId) {
     return false;
@@ -85,14 +85,14 @@
   if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) {
     return false;
   }
-  if (offset < m_next) {
+  if (offset < m_nextOffset) {
     return true; // already forwarded before the stream was resumed
   }
-  if (offset > m_next) {
+  if (offset > m_nextOffset) {
     return false;
   }
-  m_done = FieldOf(aEvent, "event:") == "done";
-  m_next += m_done ? 0 : 1;
+  m_done = FieldValue(aEvent, "event:") == "done";
+  m_nextOffset += m_done ? 0 : 1;
   aOut.append(aEvent);
   aOut.append(kEventEnd);
   return true;
--- a/src/traffic/internal/answerreader.h
+++ b/src/traffic/internal/answerreader.h
@@ -13,12 +13,12 @@
 public:
   //! Appends to aOut the bytes to forward to the caller. Returns false if the
   //! answer belongs to another request or is malformed.
-  bool Take(std::string_view aBytes, std::string& aOut);
-  bool IsWhole(bool aCleanEnd) const { return aCleanEnd; }
-  std::uint64_t Offset() const { return m_passed; }
+  bool Consume(std::string_view aBytes, std::string& aOut);
+  bool IsComplete(bool aCleanEnd) const { return aCleanEnd; }
+  std::uint64_t Offset() const { return m_forwardedBytes; }
 
 private:
-  std::uint64_t m_passed = 0;
+  std::uint64_t m_forwardedBytes = 0;
 };
 
 //! Parses the server-sent events of a model engine. Each event carries the
@@ -30,19 +30,19 @@
 public:
   explicit EventStreamAnswer(std::string aRequestId);
 
-  bool Take(std::string_view aBytes, std::string& aOut);
-  bool IsWhole(bool) const { return m_done; }
+  bool Consume(std::string_view aBytes, std::string& aOut);
+  bool IsComplete(bool) const { return m_done; }
   //! Offset of the next token to forward.
-  std::uint64_t Offset() const { return m_next; }
+  std::uint64_t Offset() const { return m_nextOffset; }
   //! Drops an incomplete event; call before reading a resumed stream.
   void Restart() { m_pending.clear(); }
 
 private:
-  bool TakeEvent(std::string_view aEvent, std::string& aOut);
+  bool ConsumeEvent(std::string_view aEvent, std::string& aOut);
 
   std::string m_requestId;
   std::string m_pending;
-  std::uint64_t m_next = 0;
+  std::uint64_t m_nextOffset = 0;
   bool m_done = false;
 };
 
--- a/src/traffic/internal/callerserver.cpp
+++ b/src/traffic/internal/callerserver.cpp
@@ -17,7 +17,7 @@
 namespace hemlockgauge::traffic {
 
 //! State of one HTTP request between the callbacks of libmicrohttpd.
-struct CallerWork
+struct RequestContext
 {
   CallerRequest request;
   std::string callerDeadline;
@@ -30,14 +30,14 @@
 namespace {
 
 constexpr std::size_t kBlockBytes = 16384;
-constexpr std::size_t kConnectionMemory = 32768;
-constexpr unsigned kOperatorConnections = 64;
+constexpr std::size_t kConnectionMemoryBytes = 32768;
+constexpr unsigned kMaxOperatorConnections = 64;
 constexpr std::string_view kBearer = "Bearer ";
-constexpr int kTooLarge = 413;
-constexpr int kNotAllowed = 405;
+constexpr int kPayloadTooLarge = 413;
+constexpr int kMethodNotAllowed = 405;
 
 std::string
-HeaderOf(MHD_Connection* aConnection, const char* aName)
+RequestHeader(MHD_Connection* aConnection, const char* aName)
 {
   const char* value =
     MHD_lookup_connection_value(aConnection, MHD_HEADER_KIND, aName);
@@ -66,18 +66,18 @@
 }
 
 ssize_t
-ReadExchange(void* aUser, std::uint64_t, char* aBuffer, std::size_t aMost)
+ReadExchange(void* aUser, std::uint64_t, char* aBuffer, std::size_t aMaxBytes)
 {
   auto& exchange = **static_cast<std::shared_ptr<Exchange>*>(aUser);
   std::size_t got = 0;
-  switch (exchange.Take(aBuffer, aMost, got)) {
-    case Exchange::Read::Some:
+  switch (exchange.ReadBody(aBuffer, aMaxBytes, got)) {
+    case Exchange::ReadResult::Some:
       return static_cast<ssize_t>(got);
-    case Exchange::Read::Wait:
+    case Exchange::ReadResult::Wait:
       return 0;
-    case Exchange::Read::End:
+    case Exchange::ReadResult::End:
       return MHD_CONTENT_READER_END_OF_STREAM;
-    case Exchange::Read::Failed:
+    case Exchange::ReadResult::Failed:
       break;
   }
   return MHD_CONTENT_READER_END_WITH_ERROR;
@@ -97,10 +97,10 @@
                 const char*,
                 const char* aBody,
                 std::size_t* aBodySize,
-                void** aWork)
+                void** aContext)
 {
   return static_cast<MHD_Result>(static_cast<CallerServer*>(aSelf)->OnRequest(
-    aConnection, aUrl, aMethod, aBody, aBodySize, aWork));
+    aConnection, aUrl, aMethod, aBody, aBodySize, aContext));
 }
 
 MHD_Result
@@ -120,12 +120,12 @@
 void
 CompletedCallback(void* aSelf,
                   MHD_Connection* aConnection,
-                  void** aWork,
+                  void** aContext,
                   MHD_RequestTerminationCode)
 {
   static_cast<CallerServer*>(aSelf)->OnCompleted(
-    aConnection, static_cast<CallerWork*>(*aWork));
-  *aWork = nullptr;
+    aConnection, static_cast<RequestContext*>(*aContext));
+  *aContext = nullptr;
 }
 
 void
@@ -191,7 +191,7 @@
                                MHD_OPTION_CONNECTION_LIMIT,
                                static_cast<unsigned>(aSettings.maxConnections),
                                MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-                               kConnectionMemory,
+                               kConnectionMemoryBytes,
                                MHD_OPTION_NOTIFY_COMPLETED,
                                &CompletedCallback,
                                this,
@@ -210,7 +210,7 @@
                                  MHD_OPTION_SOCK_ADDR,
                                  &operators,
                                  MHD_OPTION_CONNECTION_LIMIT,
-                                 kOperatorConnections,
+                                 kMaxOperatorConnections,
                                  MHD_OPTION_CONNECTION_TIMEOUT,
                                  10U,
                                  MHD_OPTION_LISTENING_ADDRESS_REUSE,
@@ -241,16 +241,16 @@
 }
 
 void
-CallerServer::CloseIdle()
+CallerServer::CloseIdleConnections()
 {
   const std::lock_guard lock(m_mutex);
-  for (const auto& [socket, since] : m_waiting) {
+  for (const auto& [socket, since] : m_incompleteSince) {
     shutdown(socket, SHUT_RD);
   }
 }
 
 std::size_t
-CallerServer::Connections()
+CallerServer::ConnectionCount()
 {
   const std::lock_guard lock(m_mutex);
   return m_connections;
@@ -282,9 +282,9 @@
   const int socket = SocketOf(aConnection);
   const std::lock_guard lock(m_mutex);
   if (aWaiting) {
-    m_waiting[socket] = base::MonotonicNow();
+    m_incompleteSince[socket] = base::MonotonicNow();
   } else {
-    m_waiting.erase(socket);
+    m_incompleteSince.erase(socket);
   }
 }
 
@@ -292,43 +292,44 @@
 CallerServer::CloseSlowCallers(base::TimePoint aNow)
 {
   const std::lock_guard lock(m_mutex);
-  for (const auto& [socket, since] : m_waiting) {
+  for (const auto& [socket, since] : m_incompleteSince) {
     if (aNow - since > m_settings.callerTimeout) {
       shutdown(socket, SHUT_RDWR);
     }
   }
 }
 
-CallerWork*
-CallerServer::BeginWork(MHD_Connection* aConnection,
-                        const char* aUrl,
-                        const char* aMethod)
+RequestContext*
+CallerServer::BeginRequest(MHD_Connection* aConnection,
+                           const char* aUrl,
+                           const char* aMethod)
 {
-  auto work = std::make_unique<CallerWork>();
-  work->request.method = aMethod;
-  work->request.path = aUrl;
-  work->request.contentType = HeaderOf(aConnection, "Content-Type");
-  work->request.idempotencyKey = HeaderOf(aConnection, "Idempotency-Key");
-  work->callerDeadline = HeaderOf(aConnection, "X-Deadline-Ms");
-  const auto authorization = HeaderOf(aConnection, "Authorization");
+  auto context = std::make_unique<RequestContext>();
+  context->request.method = aMethod;
+  context->request.path = aUrl;
+  context->request.contentType = RequestHeader(aConnection, "Content-Type");
+  context->request.idempotencyKey =
+    RequestHeader(aConnection, "Idempotency-Key");
+  context->callerDeadline = RequestHeader(aConnection, "X-Deadline-Ms");
+  const auto authorization = RequestHeader(aConnection, "Authorization");
   if (authorization.starts_with(kBearer)) {
-    work->request.bearerKey = authorization.substr(kBearer.size());
+    context->request.bearerKey = authorization.substr(kBearer.size());
   }
   MHD_get_connection_values(
-    aConnection, MHD_GET_ARGUMENT_KIND, &AppendQuery, &work->request.query);
-  return work.release();
+    aConnection, MHD_GET_ARGUMENT_KIND, &AppendQuery, &context->request.query);
+  return context.release();
 }
 
 int
-CallerServer::Receive(CallerWork& aWork,
+CallerServer::Receive(RequestContext& aContext,
                       const char* aBody,
                       std::size_t* aBodySize)
 {
-  if (aWork.request.body.size() + *aBodySize > m_settings.maxBodyBytes) {
-    aWork.tooLarge = true;
-    aWork.request.body.clear();
-  } else if (!aWork.tooLarge) {
-    aWork.request.body.append(aBody, *aBodySize);
+  if (aContext.request.body.size() + *aBodySize > m_settings.maxBodyBytes) {
+    aContext.tooLarge = true;
+    aContext.request.body.clear();
+  } else if (!aContext.tooLarge) {
+    aContext.request.body.append(aBody, *aBodySize);
   }
   *aBodySize = 0;
   return MHD_YES;
@@ -340,82 +341,84 @@
                         const char* aMethod,
                         const char* aBody,
                         std::size_t* aBodySize,
-                        void** aWork)
+                        void** aContext)
 {
-  if (*aWork == nullptr) {
-    *aWork = BeginWork(aConnection, aUrl, aMethod);
+  if (*aContext == nullptr) {
+    *aContext = BeginRequest(aConnection, aUrl, aMethod);
     return MHD_YES;
   }
-  auto& work = *static_cast<CallerWork*>(*aWork);
+  auto& context = *static_cast<RequestContext*>(*aContext);
   if (*aBodySize > 0) {
-    return Receive(work, aBody, aBodySize);
+    return Receive(context, aBody, aBodySize);
   }
-  if (work.answered) {
+  if (context.answered) {
     return MHD_YES;
   }
-  if (!work.submitted) {
-    work.submitted = true;
+  if (!context.submitted) {
+    context.submitted = true;
     SetWaiting(aConnection, false);
     if (std::strcmp(aUrl, "/healthz") == 0) {
-      work.answered = true;
+      context.answered = true;
       return QueueBody(aConnection, 200, "text/plain", "ok\n");
     }
     if (std::strcmp(aUrl, "/readyz") == 0) {
-      work.answered = true;
+      context.answered = true;
       const bool ready = m_control.IsReady();
       return QueueBody(aConnection,
                        ready ? 200 : 503,
                        "text/plain",
                        ready ? "ready\n" : "not ready\n");
     }
-    Admit(work);
+    Admit(context);
   }
-  return Answer(aConnection, work);
+  return Answer(aConnection, context);
 }
 
 void
-CallerServer::Admit(CallerWork& aWork)
+CallerServer::Admit(RequestContext& aContext)
 {
-  auto& request = aWork.request;
+  auto& request = aContext.request;
   const auto method = request.method;
   std::optional<Refusal> refusal;
-  if (aWork.tooLarge) {
-    refusal = Refusal{ kTooLarge, "body-too-large", base::Verdict::NotRun, {} };
-  } else if (method != "POST" && method != "GET" && method != "PUT") {
+  if (aContext.tooLarge) {
     refusal =
-      Refusal{ kNotAllowed, "method-not-allowed", base::Verdict::NotRun, {} };
+      Refusal{ kPayloadTooLarge, "body-too-large", base::Verdict::NotRun, {} };
+  } else if (method != "POST" && method != "GET" && method != "PUT") {
+    refusal = Refusal{
+      kMethodNotAllowed, "method-not-allowed", base::Verdict::NotRun, {}
+    };
   } else {
     const auto table = m_sink.Table();
     refusal = RunFilters(
       { MatchRouteFilter{},
         AuthenticateFilter{},
-        DeadlineFilter{ base::MonotonicNow(), aWork.callerDeadline } },
+        DeadlineFilter{ base::MonotonicNow(), aContext.callerDeadline } },
       request,
       *table);
   }
   request.bearerKey.clear();
   request.idText = m_sink.NewRequestId(request.id);
-  aWork.exchange = std::make_shared<Exchange>(std::move(request));
+  aContext.exchange = std::make_shared<Exchange>(std::move(request));
   if (refusal) {
     m_metrics.Count("refused_total{reason=\"" + refusal->reason + "\"}");
-    aWork.exchange->Refuse(*refusal);
+    aContext.exchange->Refuse(*refusal);
     return;
   }
-  m_sink.Submit(aWork.exchange);
+  m_sink.Submit(aContext.exchange);
 }
 
 int
-CallerServer::Answer(MHD_Connection* aConnection, CallerWork& aWork)
+CallerServer::Answer(MHD_Connection* aConnection, RequestContext& aContext)
 {
   AnswerHead head;
-  if (!aWork.exchange->AwaitHead(aConnection, head)) {
+  if (!aContext.exchange->AwaitHead(aConnection, head)) {
     return MHD_YES;
   }
-  aWork.answered = true;
-  if (aWork.exchange->IsCallerGone()) {
+  aContext.answered = true;
+  if (aContext.exchange->IsCallerGone()) {
     return MHD_NO;
   }
-  auto* user = new std::shared_ptr<Exchange>(aWork.exchange);
+  auto* user = new std::shared_ptr<Exchange>(aContext.exchange);
   auto* response = MHD_create_response_from_callback(
     MHD_SIZE_UNKNOWN, kBlockBytes, &ReadExchange, user, &FreeExchange);
   if (!m_listening) {
@@ -424,7 +427,7 @@
   const auto verdict = std::string(base::kVerdictNames.NameOf(head.verdict));
   MHD_add_response_header(response, "X-Verdict", verdict.c_str());
   MHD_add_response_header(
-    response, "X-Request-Id", aWork.exchange->Request().idText.c_str());
+    response, "X-Request-Id", aContext.exchange->Request().idText.c_str());
   if (!head.contentType.empty()) {
     MHD_add_response_header(response, "Content-Type", head.contentType.c_str());
   }
@@ -442,13 +445,13 @@
 }
 
 void
-CallerServer::OnCompleted(MHD_Connection* aConnection, CallerWork* aWork)
+CallerServer::OnCompleted(MHD_Connection* aConnection, RequestContext* aContext)
 {
-  const std::unique_ptr<CallerWork> work(aWork);
+  const std::unique_ptr<RequestContext> context(aContext);
   SetWaiting(aConnection, true);
-  if (work && work->exchange) {
-    const bool early = work->exchange->CallerEnded();
-    m_sink.CallerEnded(work->exchange, early);
+  if (context && context->exchange) {
+    const bool early = context->exchange->CallerEnded();
+    m_sink.CallerEnded(context->exchange, early);
   }
 }
 
@@ -458,7 +461,7 @@
   std::string query;
   MHD_get_connection_values(
     aConnection, MHD_GET_ARGUMENT_KIND, &AppendQuery, &query);
-  const auto page = m_control.Admin(aUrl, query);
+  const auto page = m_control.RenderAdminPage(aUrl, query);
   return QueueBody(aConnection, page.status, page.contentType, page.body);
 }
 
--- a/src/traffic/internal/callerserver.h
+++ b/src/traffic/internal/callerserver.h
@@ -21,7 +21,7 @@
 namespace hemlockgauge::traffic {
 
 class IControl;
-struct CallerWork;
+struct RequestContext;
 
 //! Receives the requests that CallerServer has read.
 class IExchangeSink
@@ -54,8 +54,8 @@
   void CloseListener();
   //! Shuts down reading on connections without a complete request. Requests
   //! that were read before are still answered.
-  void CloseIdle();
-  std::size_t Connections();
+  void CloseIdleConnections();
+  std::size_t ConnectionCount();
   void Stop();
   //! Closes connections that have waited longer than callerTimeout for a
   //! complete request.
@@ -67,18 +67,20 @@
                 const char* aMethod,
                 const char* aBody,
                 std::size_t* aBodySize,
-                void** aWork);
-  void OnCompleted(MHD_Connection* aConnection, CallerWork* aWork);
+                void** aContext);
+  void OnCompleted(MHD_Connection* aConnection, RequestContext* aContext);
   void OnConnection(MHD_Connection* aConnection, bool aStarted);
   int OnAdmin(MHD_Connection* aConnection, const char* aUrl);
 
 private:
-  CallerWork* BeginWork(MHD_Connection* aConnection,
-                        const char* aUrl,
-                        const char* aMethod);
-  int Receive(CallerWork& aWork, const char* aBody, std::size_t* aBodySize);
-  int Answer(MHD_Connection* aConnection, CallerWork& aWork);
-  void Admit(CallerWork& aWork);
+  RequestContext* BeginRequest(MHD_Connection* aConnection,
+                               const char* aUrl,
+                               const char* aMethod);
+  int Receive(RequestContext& aContext,
+              const char* aBody,
+              std::size_t* aBodySize);
+  int Answer(MHD_Connection* aConnection, RequestContext& aContext);
+  void Admit(RequestContext& aContext);
   void SetWaiting(MHD_Connection* aConnection, bool aWaiting);
 
   const document::RouterSettings& m_settings;
@@ -91,7 +93,7 @@
   std::mutex m_mutex;
   std::size_t m_connections = 0;
   //! By socket: when the connection began to wait for a complete request.
-  std::map<int, base::TimePoint> m_waiting;
+  std::map<int, base::TimePoint> m_incompleteSince;
 };
 
 }
--- a/src/traffic/internal/exchange.cpp
+++ b/src/traffic/internal/exchange.cpp
@@ -30,38 +30,40 @@
   return false;
 }
 
-Exchange::Read
-Exchange::Take(char* aBuffer, std::size_t aMost, std::size_t& aGot)
+Exchange::ReadResult
+Exchange::ReadBody(char* aBuffer,
+                   std::size_t aMaxBytes,
+                   std::size_t& aBytesRead)
 {
-  std::function<void()> onRoom;
-  Read result = Read::Some;
+  std::function<void()> onDrained;
+  ReadResult result = ReadResult::Some;
   {
     const std::lock_guard lock(m_mutex);
     const auto left = m_buffer.size() - m_start;
-    aGot = std::min(aMost, left);
-    if (aGot > 0) {
-      std::memcpy(aBuffer, m_buffer.data() + m_start, aGot);
-      m_start += aGot;
+    aBytesRead = std::min(aMaxBytes, left);
+    if (aBytesRead > 0) {
+      std::memcpy(aBuffer, m_buffer.data() + m_start, aBytesRead);
+      m_start += aBytesRead;
       if (m_start == m_buffer.size()) {
         m_buffer.clear();
         m_start = 0;
       }
-      if (m_full && m_buffer.size() - m_start < kLowWater) {
+      if (m_full && m_buffer.size() - m_start < kLowWatermark) {
         m_full = false;
-        onRoom = m_onRoom;
+        onDrained = m_onDrained;
       }
     } else if (m_failed) {
-      result = Read::Failed;
+      result = ReadResult::Failed;
     } else if (m_ended) {
-      result = Read::End;
+      result = ReadResult::End;
     } else {
       m_suspended = true;
       MHD_suspend_connection(m_connection);
-      result = Read::Wait;
+      result = ReadResult::Wait;
     }
   }
-  if (onRoom) {
-    onRoom();
+  if (onDrained) {
+    onDrained();
   }
   return result;
 }
@@ -79,7 +81,7 @@
 }
 
 bool
-Exchange::CallerHungUp()
+Exchange::DetectCallerHangup()
 {
   const std::lock_guard lock(m_mutex);
   if (!m_suspended || m_connection == nullptr || m_callerGone) {
@@ -103,10 +105,10 @@
 }
 
 void
-Exchange::OnRoom(std::function<void()> aCallback)
+Exchange::SetDrainedCallback(std::function<void()> aCallback)
 {
   const std::lock_guard lock(m_mutex);
-  m_onRoom = std::move(aCallback);
+  m_onDrained = std::move(aCallback);
 }
 
 void
@@ -119,7 +121,7 @@
 }
 
 void
-Exchange::Head(const AnswerHead& aHead)
+Exchange::SetHead(const AnswerHead& aHead)
 {
   const std::lock_guard lock(m_mutex);
   if (m_hasHead) {
@@ -135,7 +137,7 @@
 {
   const std::lock_guard lock(m_mutex);
   m_buffer.append(aBytes);
-  m_full = m_full || m_buffer.size() - m_start > kHighWater;
+  m_full = m_full || m_buffer.size() - m_start > kHighWatermark;
   ResumeLocked();
   return !m_full;
 }
--- a/src/traffic/internal/exchange.h
+++ b/src/traffic/internal/exchange.h
@@ -28,10 +28,10 @@
 class Exchange
 {
 public:
-  static constexpr std::size_t kHighWater = 262144;
-  static constexpr std::size_t kLowWater = 65536;
+  static constexpr std::size_t kHighWatermark = 262144;
+  static constexpr std::size_t kLowWatermark = 65536;
 
-  enum class Read
+  enum class ReadResult
   {
     Some,
     Wait, //!< nothing buffered; the connection was suspended
@@ -48,17 +48,19 @@
   //! Copies the head to aHead and returns true if the head is known or the
   //! exchange failed; otherwise suspends the connection and returns false.
   bool AwaitHead(MHD_Connection* aConnection, AnswerHead& aHead);
-  Read Take(char* aBuffer, std::size_t aMost, std::size_t& aGot);
+  ReadResult ReadBody(char* aBuffer,
+                      std::size_t aMaxBytes,
+                      std::size_t& aBytesRead);
   //! Records the end of the connection. Returns true if the answer was not
   //! complete then.
   bool CallerEnded();
   //! Checks the socket of a suspended connection. If the caller closed it,
   //! fails the exchange and returns true.
-  bool CallerHungUp();
-  void OnRoom(std::function<void()> aCallback);
+  bool DetectCallerHangup();
+  void SetDrainedCallback(std::function<void()> aCallback);
 
   // Called by the upstream worker
-  void Head(const AnswerHead& aHead);
+  void SetHead(const AnswerHead& aHead);
   //! Returns false if the buffer has exceeded its high-water mark and has not
   //! drained to the low-water mark since.
   bool Append(std::string_view aBytes);
@@ -87,7 +89,7 @@
   AnswerHead m_head;
   std::string m_buffer;
   std::size_t m_start = 0;
-  std::function<void()> m_onRoom;
+  std::function<void()> m_onDrained;
 };
 
 }
--- a/src/traffic/internal/trafficplane.cpp
+++ b/src/traffic/internal/trafficplane.cpp
@@ -17,10 +17,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kSweepPeriod = 100ms;
-//! How long there must be no connection before the plane counts as quiet. A
+constexpr base::Duration kSweepInterval = 100ms;
+//! How long there must be no connection before the plane counts as drained. A
 //! connection accepted right before the listener closed is counted by then.
-constexpr base::Duration kQuietFor = 50ms;
+constexpr base::Duration kDrainSettleTime = 50ms;
 
 int
 StatusOf(RefusalReason aReason)
@@ -206,7 +206,7 @@
 {
   std::unique_lock lock(m_mutex);
   while (!m_stop) {
-    m_wake.wait_for(lock, kSweepPeriod);
+    m_wake.wait_for(lock, kSweepInterval);
     lock.unlock();
     Sweep();
     lock.lock();
@@ -224,7 +224,7 @@
     }
   }
   for (const auto& exchange : waiting) {
-    exchange->CallerHungUp();
+    exchange->DetectCallerHangup();
   }
   m_server->CloseSlowCallers(base::MonotonicNow());
 }
@@ -236,7 +236,7 @@
 }
 
 std::size_t
-TrafficPlane::Active() const
+TrafficPlane::ActiveRequestCount() const
 {
   const std::lock_guard lock(m_mutex);
   return m_exchanges.size();
@@ -246,18 +246,18 @@
 //! request on a connection that they keep open. So idle connections are closed
 //! first.
 bool
-TrafficPlane::IsQuiet()
+TrafficPlane::IsDrained()
 {
-  if (Active() == 0) {
-    m_server->CloseIdle();
+  if (ActiveRequestCount() == 0) {
+    m_server->CloseIdleConnections();
   }
-  if (Active() > 0 || m_server->Connections() > 0) {
-    m_quietSince.reset();
+  if (ActiveRequestCount() > 0 || m_server->ConnectionCount() > 0) {
+    m_noConnectionsSince.reset();
     return false;
   }
   const auto now = base::MonotonicNow();
-  m_quietSince = m_quietSince.value_or(now);
-  return now - *m_quietSince >= kQuietFor;
+  m_noConnectionsSince = m_noConnectionsSince.value_or(now);
+  return now - *m_noConnectionsSince >= kDrainSettleTime;
 }
 
 std::size_t
@@ -274,7 +274,7 @@
       left.push_back(exchange);
     }
   }
-  const auto cut = left.size();
+  const auto aborted = left.size();
   m_wake.notify_all();
   m_sweeper.join();
   for (const auto& exchange : left) {
@@ -286,7 +286,7 @@
   m_server->Stop();
   m_server.reset();
   m_workers.clear();
-  return cut;
+  return aborted;
 }
 
 }
--- a/src/traffic/internal/trafficplane.h
+++ b/src/traffic/internal/trafficplane.h
@@ -34,8 +34,8 @@
   void Refuse(const decision::RefuseRequest& aRefusal) override;
   void SetDocument(const decision::DocumentInForce& aDocument) override;
   void CloseListener() override;
-  std::size_t Active() const override;
-  bool IsQuiet() override;
+  std::size_t ActiveRequestCount() const override;
+  bool IsDrained() override;
   std::size_t Stop() override;
 
   std::shared_ptr<const RoutingTable> Table() const override;
@@ -63,7 +63,7 @@
   std::unique_ptr<CallerServer> m_server;
   std::condition_variable m_wake;
   bool m_stop = false;
-  std::optional<base::TimePoint> m_quietSince;
+  std::optional<base::TimePoint> m_noConnectionsSince;
   std::thread m_sweeper;
 };
 
--- a/src/traffic/internal/transfer.cpp
+++ b/src/traffic/internal/transfer.cpp
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr long kConnectLimitMs = 1000;
-constexpr std::uint32_t kMaxFruitlessResumes = 4;
+constexpr long kConnectTimeoutMs = 1000;
+constexpr std::uint32_t kMaxResumesWithoutProgress = 4;
 constexpr base::Duration kResumeDelay = 50ms;
 constexpr long kOk = 200;
 constexpr long kNotFound = 404;
@@ -78,7 +78,7 @@
 }
 
 bool
-Transfer::IsEngine() const
+Transfer::IsModelEngine() const
 {
   return m_exchange->Request().service->kind ==
          document::UpstreamKind::ModelEngine;
@@ -96,14 +96,14 @@
 {
   CloseHandle();
   m_now = aNow;
-  m_lastByte = aNow;
+  m_lastByteAt = aNow;
   m_status = 0;
   m_contentType.clear();
-  m_answerId.clear();
-  m_refused = false;
-  m_crossed = false;
+  m_answerRequestId.clear();
+  m_refusedByUpstream = false;
+  m_foreignAnswer = false;
   m_paused = false;
-  m_wantPause = false;
+  m_pauseRequested = false;
   if (auto* stream = std::get_if<EventStreamAnswer>(&m_reader)) {
     stream->Restart();
     m_offsetAtStart = stream->Offset();
@@ -123,7 +123,7 @@
   curl_easy_setopt(curl, CURLOPT_PROXY, "");
   curl_easy_setopt(curl, CURLOPT_FOLLOWLOCATION, 0L);
   curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-  curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, kConnectLimitMs);
+  curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, kConnectTimeoutMs);
   curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
   curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, &Transfer::OnBody);
   curl_easy_setopt(curl, CURLOPT_WRITEDATA, this);
@@ -184,7 +184,7 @@
                  void* aSelf)
 {
   auto& self = *static_cast<Transfer*>(aSelf);
-  return self.TakeBody({ aData, aSize * aCount });
+  return self.HandleBody({ aData, aSize * aCount });
 }
 
 std::size_t
@@ -193,7 +193,7 @@
                    std::size_t aCount,
                    void* aSelf)
 {
-  static_cast<Transfer*>(aSelf)->TakeHeader({ aData, aSize * aCount });
+  static_cast<Transfer*>(aSelf)->HandleHeader({ aData, aSize * aCount });
   return aSize * aCount;
 }
 
@@ -208,9 +208,9 @@
 }
 
 void
-Transfer::TakeHeader(std::string_view aLine)
+Transfer::HandleHeader(std::string_view aLine)
 {
-  m_lastByte = base::MonotonicNow();
+  m_lastByteAt = base::MonotonicNow();
   if (aLine.starts_with("HTTP/")) {
     m_status = 0;
     const auto space = aLine.find(' ');
@@ -220,13 +220,13 @@
     return;
   }
   if (const auto id = HeaderValue(aLine, "X-Request-Id")) {
-    m_answerId = *id;
+    m_answerRequestId = *id;
   } else if (const auto type = HeaderValue(aLine, "Content-Type")) {
     m_contentType = *type;
   } else if (HeaderValue(aLine, "X-Not-Run")) {
-    m_refused = m_status == kUnavailable;
+    m_refusedByUpstream = m_status == kUnavailable;
   } else if (HeaderValue(aLine, "X-Leaving")) {
-    m_leaving = true;
+    m_upstreamLeaving = true;
   }
 }
 
@@ -234,11 +234,11 @@
 bool
 Transfer::AcceptHead()
 {
-  if (m_answerId != m_exchange->Request().idText) {
-    m_crossed = true;
+  if (m_answerRequestId != m_exchange->Request().idText) {
+    m_foreignAnswer = true;
     return false;
   }
-  if (m_refused) {
+  if (m_refusedByUpstream) {
     return false;
   }
   const bool resumed = m_sent && m_offsetAtStart > 0;
@@ -246,7 +246,7 @@
     m_unknownStream = m_status == kNotFound;
     return false;
   }
-  const bool stream = m_status == kOk && IsEngine();
+  const bool stream = m_status == kOk && IsModelEngine();
   if (!stream && !std::holds_alternative<PlainAnswer>(m_reader)) {
     m_reader = PlainAnswer();
   }
@@ -256,32 +256,32 @@
 void
 Transfer::SendHead()
 {
-  m_exchange->Head(
+  m_exchange->SetHead(
     { static_cast<int>(m_status), m_contentType, "", base::Verdict::Ran, {} });
 }
 
 std::size_t
-Transfer::TakeBody(std::string_view aBytes)
+Transfer::HandleBody(std::string_view aBytes)
 {
-  if (m_wantPause) {
-    m_wantPause = false;
+  if (m_pauseRequested) {
+    m_pauseRequested = false;
     m_paused = true;
     return CURL_WRITEFUNC_PAUSE;
   }
-  m_lastByte = base::MonotonicNow();
+  m_lastByteAt = base::MonotonicNow();
   if (!AcceptHead()) {
-    return m_crossed ? 0 : aBytes.size();
+    return m_foreignAnswer ? 0 : aBytes.size();
   }
   std::string out;
   const bool ours = std::visit(
-    [&](auto& aReader) { return aReader.Take(aBytes, out); }, m_reader);
+    [&](auto& aReader) { return aReader.Consume(aBytes, out); }, m_reader);
   if (!out.empty()) {
-    m_fruitless = 0;
+    m_resumesWithoutProgress = 0;
     SendHead();
-    m_wantPause = !m_exchange->Append(out);
+    m_pauseRequested = !m_exchange->Append(out);
   }
   if (!ours) {
-    m_crossed = true;
+    m_foreignAnswer = true;
     return 0;
   }
   return aBytes.size();
@@ -291,7 +291,7 @@
 Transfer::IsStalled(base::TimePoint aNow) const
 {
   return !m_paused &&
-         aNow - m_lastByte > m_exchange->Request().service->stallLimit;
+         aNow - m_lastByteAt > m_exchange->Request().service->stallLimit;
 }
 
 void
@@ -299,65 +299,67 @@
 {
   if (m_paused && m_handle != nullptr) {
     m_paused = false;
-    m_lastByte = base::MonotonicNow();
+    m_lastByteAt = base::MonotonicNow();
     curl_easy_pause(m_handle, CURLPAUSE_CONT);
   }
 }
 
 bool
-Transfer::MayResume(base::TimePoint aNow) const
+Transfer::CanResume(base::TimePoint aNow) const
 {
   const bool stream = std::holds_alternative<EventStreamAnswer>(m_reader);
-  return stream && IsEngine() && !m_unknownStream &&
-         m_fruitless < kMaxFruitlessResumes &&
+  return stream && IsModelEngine() && !m_unknownStream &&
+         m_resumesWithoutProgress < kMaxResumesWithoutProgress &&
          aNow < m_exchange->Request().deadline;
 }
 
 Transfer::Next
-Transfer::Finish(CURLcode aResult, bool aStalled, base::TimePoint aNow)
+Transfer::FinishTry(CURLcode aResult, bool aStalled, base::TimePoint aNow)
 {
   long requestBytes = 0;
   curl_easy_getinfo(m_handle, CURLINFO_REQUEST_SIZE, &requestBytes);
-  const bool wasFirst = !m_sent;
+  const bool wasFirstTry = !m_sent;
   m_sent = m_sent || requestBytes > 0;
-  const auto over = [&](AttemptOutcome aOutcome) {
+  const auto done = [&](AttemptOutcome aOutcome) {
     m_outcome = aOutcome;
-    return Next::Over;
+    return Next::Done;
   };
   if (m_exchange->IsCallerGone()) {
-    return over(AttemptOutcome::CallerGone);
+    return done(AttemptOutcome::CallerGone);
   }
   if (!m_sent) {
-    return over(AttemptOutcome::ConnectFailed);
+    return done(AttemptOutcome::ConnectFailed);
   }
   const bool clean = aResult == CURLE_OK && !aStalled;
-  if (clean && !AcceptHead() && m_refused && wasFirst && !m_crossed) {
-    return over(AttemptOutcome::Refused);
+  if (clean && !AcceptHead() && m_refusedByUpstream && wasFirstTry &&
+      !m_foreignAnswer) {
+    return done(AttemptOutcome::Refused);
   }
-  const bool accepted = !m_crossed && !m_refused && !m_unknownStream;
-  const bool whole =
+  const bool accepted =
+    !m_foreignAnswer && !m_refusedByUpstream && !m_unknownStream;
+  const bool complete =
     accepted &&
-    std::visit([&](const auto& aReader) { return aReader.IsWhole(clean); },
+    std::visit([&](const auto& aReader) { return aReader.IsComplete(clean); },
                m_reader);
-  if (whole) {
+  if (complete) {
     SendHead();
     m_exchange->End();
-    return over(AttemptOutcome::Completed);
+    return done(AttemptOutcome::Completed);
   }
-  if (MayResume(aNow)) {
-    m_resumeAt = aNow + kResumeDelay * (1 << m_fruitless);
-    m_fruitless++;
+  if (CanResume(aNow)) {
+    m_resumeAt = aNow + kResumeDelay * (1 << m_resumesWithoutProgress);
+    m_resumesWithoutProgress++;
     m_resumes++;
     return Next::Resume;
   }
-  return over(m_exchange->HasHead() ? AttemptOutcome::BrokenLate
+  return done(m_exchange->HasHead() ? AttemptOutcome::BrokenLate
                                     : AttemptOutcome::BrokenEarly);
 }
 
 bool
 Transfer::NeedsCancel() const
 {
-  return IsEngine() && m_sent && m_outcome != AttemptOutcome::Completed &&
+  return IsModelEngine() && m_sent && m_outcome != AttemptOutcome::Completed &&
          m_outcome != AttemptOutcome::Refused;
 }
 
--- a/src/traffic/internal/transfer.h
+++ b/src/traffic/internal/transfer.h
@@ -20,7 +20,7 @@
 public:
   enum class Next
   {
-    Over,  //!< finished; see Outcome()
+    Done,  //!< finished; see Outcome()
     Resume //!< open a new handle once IsDueToResume()
   };
 
@@ -32,7 +32,7 @@
 
   base::RequestId Id() const { return m_send.request; }
   const decision::SendRequest& Send() const { return m_send; }
-  Exchange& Caller() { return *m_exchange; }
+  Exchange& CallerExchange() { return *m_exchange; }
   CURL* Handle() const { return m_handle; }
 
   //! Creates the libcurl handle of the next try.
@@ -40,12 +40,14 @@
   void DropHandle() { CloseHandle(); }
   //! Evaluates a try that ended with aResult, or that was stopped because the
   //! upstream sent nothing for the stall limit (aStalled).
-  Next Finish(CURLcode aResult, bool aStalled, base::TimePoint aNow);
+  Next FinishTry(CURLcode aResult, bool aStalled, base::TimePoint aNow);
+  //! Whether the upstream sent nothing for longer than the stall limit, other
+  //! than while the transfer was paused.
   bool IsStalled(base::TimePoint aNow) const;
   bool IsDueToResume(base::TimePoint aNow) const { return aNow >= m_resumeAt; }
   void Unpause();
   decision::AttemptOutcome Outcome() const { return m_outcome; }
-  bool UpstreamLeaving() const { return m_leaving; }
+  bool UpstreamLeaving() const { return m_upstreamLeaving; }
   //! Whether the stream may still run at the model engine although the attempt
   //! ended, so that it must be cancelled there.
   bool NeedsCancel() const;
@@ -65,14 +67,14 @@
                         curl_off_t,
                         curl_off_t,
                         curl_off_t);
-  std::size_t TakeBody(std::string_view aBytes);
-  void TakeHeader(std::string_view aLine);
+  std::size_t HandleBody(std::string_view aBytes);
+  void HandleHeader(std::string_view aLine);
   bool AcceptHead();
   void SendHead();
   void SetRequestOptions();
   void CloseHandle();
-  bool IsEngine() const;
-  bool MayResume(base::TimePoint aNow) const;
+  bool IsModelEngine() const;
+  bool CanResume(base::TimePoint aNow) const;
 
   std::shared_ptr<Exchange> m_exchange;
   decision::SendRequest m_send;
@@ -84,19 +86,19 @@
   // State of the current try
   long m_status = 0;
   std::string m_contentType;
-  std::string m_answerId;
-  bool m_refused = false;
-  bool m_crossed = false;
+  std::string m_answerRequestId;
+  bool m_refusedByUpstream = false;
+  bool m_foreignAnswer = false;
   bool m_paused = false;
-  bool m_wantPause = false;
-  base::TimePoint m_lastByte{};
+  bool m_pauseRequested = false;
+  base::TimePoint m_lastByteAt{};
   std::uint64_t m_offsetAtStart = 0;
 
   // State across tries
   bool m_sent = false;
   bool m_unknownStream = false;
-  bool m_leaving = false;
-  std::uint32_t m_fruitless = 0;
+  bool m_upstreamLeaving = false;
+  std::uint32_t m_resumesWithoutProgress = 0;
   std::uint32_t m_resumes = 0;
   base::TimePoint m_resumeAt{};
   base::TimePoint m_now{};
--- a/src/traffic/internal/upstreamworker.cpp
+++ b/src/traffic/internal/upstreamworker.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr int kPollMs = 20;
+constexpr int kPollTimeoutMs = 20;
 constexpr long kMaxIdleConnections = 256;
-constexpr long kCancelLimitMs = 1000;
+constexpr long kCancelTimeoutMs = 1000;
 
 std::size_t
 Discard(char*, std::size_t aSize, std::size_t aCount, void*)
@@ -46,7 +46,7 @@
                       const decision::SendRequest& aSend)
 {
   const std::lock_guard lock(m_mutex);
-  m_orders.push_back({ std::move(aExchange), aSend });
+  m_commands.push_back({ std::move(aExchange), aSend });
   curl_multi_wakeup(m_multi);
 }
 
@@ -56,7 +56,7 @@
   decision::SendRequest which;
   which.request = aRequest;
   const std::lock_guard lock(m_mutex);
-  m_orders.push_back({ nullptr, which });
+  m_commands.push_back({ nullptr, which });
   curl_multi_wakeup(m_multi);
 }
 
@@ -74,30 +74,30 @@
 UpstreamWorker::Run()
 {
   while (!m_stop) {
-    TakeOrders();
-    ResumeDue();
+    ProcessCommands();
+    StartDueResumes();
     int running = 0;
     curl_multi_perform(m_multi, &running);
-    TakeMessages();
-    StopStalled();
-    curl_multi_poll(m_multi, nullptr, 0, kPollMs, nullptr);
+    ProcessCompletions();
+    AbortStalled();
+    curl_multi_poll(m_multi, nullptr, 0, kPollTimeoutMs, nullptr);
   }
 }
 
 void
-UpstreamWorker::TakeOrders()
+UpstreamWorker::ProcessCommands()
 {
-  std::vector<Order> orders;
+  std::vector<Command> commands;
   {
     const std::lock_guard lock(m_mutex);
-    orders.swap(m_orders);
+    commands.swap(m_commands);
   }
-  for (auto& order : orders) {
-    if (order.exchange) {
-      Start(order);
+  for (auto& command : commands) {
+    if (command.exchange) {
+      Start(command);
       continue;
     }
-    const auto found = m_transfers.find(order.send.request);
+    const auto found = m_transfers.find(command.send.request);
     if (found != m_transfers.end()) {
       found->second->Unpause();
     }
@@ -107,23 +107,23 @@
 //! The command may have waited while the process was paused, so validUntil is
 //! checked again right before the first byte is sent.
 void
-UpstreamWorker::Start(Order& aOrder)
+UpstreamWorker::Start(Command& aCommand)
 {
   const auto now = base::MonotonicNow();
-  if (aOrder.exchange->IsCallerGone()) {
+  if (aCommand.exchange->IsCallerGone()) {
     m_onEnded(
-      { aOrder.send.request, decision::AttemptOutcome::CallerGone, false });
+      { aCommand.send.request, decision::AttemptOutcome::CallerGone, false });
     return;
   }
-  if (now > aOrder.send.validUntil) {
+  if (now > aCommand.send.validUntil) {
     m_onEnded(
-      { aOrder.send.request, decision::AttemptOutcome::NotSent, false });
+      { aCommand.send.request, decision::AttemptOutcome::NotSent, false });
     return;
   }
   auto transfer =
-    std::make_unique<Transfer>(std::move(aOrder.exchange), aOrder.send);
+    std::make_unique<Transfer>(std::move(aCommand.exchange), aCommand.send);
   const auto id = transfer->Id();
-  transfer->Caller().OnRoom([this, id] { Unpause(id); });
+  transfer->CallerExchange().SetDrainedCallback([this, id] { Unpause(id); });
   auto& kept = m_transfers[id];
   kept = std::move(transfer);
   OpenTry(*kept);
@@ -136,7 +136,7 @@
 }
 
 void
-UpstreamWorker::ResumeDue()
+UpstreamWorker::StartDueResumes()
 {
   const auto now = base::MonotonicNow();
   std::vector<base::RequestId> later;
@@ -156,7 +156,7 @@
 }
 
 void
-UpstreamWorker::TakeMessages()
+UpstreamWorker::ProcessCompletions()
 {
   int left = 0;
   while (const auto* message = curl_multi_info_read(m_multi, &left)) {
@@ -177,7 +177,7 @@
 }
 
 void
-UpstreamWorker::StopStalled()
+UpstreamWorker::AbortStalled()
 {
   const auto now = base::MonotonicNow();
   std::vector<Transfer*> stalled;
@@ -196,7 +196,8 @@
 UpstreamWorker::EndTry(Transfer& aTransfer, CURLcode aResult, bool aStalled)
 {
   curl_multi_remove_handle(m_multi, aTransfer.Handle());
-  const auto next = aTransfer.Finish(aResult, aStalled, base::MonotonicNow());
+  const auto next =
+    aTransfer.FinishTry(aResult, aStalled, base::MonotonicNow());
   aTransfer.DropHandle();
   if (next == Transfer::Next::Resume) {
     m_resuming.push_back(aTransfer.Id());
@@ -214,7 +215,7 @@
   const decision::AttemptEnded ended{ aTransfer.Id(),
                                       aTransfer.Outcome(),
                                       aTransfer.UpstreamLeaving() };
-  aTransfer.Caller().OnRoom({});
+  aTransfer.CallerExchange().SetDrainedCallback({});
   m_transfers.erase(aTransfer.Id());
   m_onEnded(ended);
 }
@@ -229,7 +230,7 @@
   curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(curl, CURLOPT_PROXY, "");
   curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, "DELETE");
-  curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, kCancelLimitMs);
+  curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, kCancelTimeoutMs);
   curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
   curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, Discard);
--- a/src/traffic/internal/upstreamworker.h
+++ b/src/traffic/internal/upstreamworker.h
@@ -34,25 +34,28 @@
   UpstreamWorker(const UpstreamWorker&) = delete;
   UpstreamWorker& operator=(const UpstreamWorker&) = delete;
 
+  //! Queues an attempt; OnEnded is called once with its outcome.
   void Begin(std::shared_ptr<Exchange> aExchange,
              const decision::SendRequest& aSend);
+  //! Continues a transfer that was paused because its caller reads slowly.
   void Unpause(base::RequestId aRequest);
+  //! Ends the thread; attempts still running get no OnEnded call.
   void Stop();
 
 private:
-  struct Order
+  struct Command
   {
     std::shared_ptr<Exchange> exchange; //!< null: continue the paused transfer
     decision::SendRequest send;
   };
 
   void Run();
-  void TakeOrders();
-  void Start(Order& aOrder);
+  void ProcessCommands();
+  void Start(Command& aCommand);
   void OpenTry(Transfer& aTransfer);
-  void TakeMessages();
-  void StopStalled();
-  void ResumeDue();
+  void ProcessCompletions();
+  void AbortStalled();
+  void StartDueResumes();
   void EndTry(Transfer& aTransfer, CURLcode aResult, bool aStalled);
   void Close(Transfer& aTransfer);
   void CancelStream(const Transfer& aTransfer);
@@ -62,7 +65,7 @@
   CURLM* m_multi;
   std::atomic<bool> m_stop{ false };
   std::mutex m_mutex;
-  std::vector<Order> m_orders;
+  std::vector<Command> m_commands;
   std::map<base::RequestId, std::unique_ptr<Transfer>> m_transfers;
   std::vector<base::RequestId> m_resuming;
   std::thread m_thread;
--- a/src/traffic/routingtable.cpp
+++ b/src/traffic/routingtable.cpp
@@ -50,7 +50,7 @@
 }
 
 const std::vector<KeyOwner>&
-RoutingTable::OwnersOf(const std::string& aDigest) const
+RoutingTable::FindKeyOwners(const std::string& aDigest) const
 {
   static const std::vector<KeyOwner> kNone;
   const auto found = m_keys.find(aDigest);
--- a/src/traffic/routingtable.h
+++ b/src/traffic/routingtable.h
@@ -31,7 +31,7 @@
   //! matches.
   ServicePtr MatchPath(std::string_view aPath) const;
   //! Returns all owners of the key with this SHA-256 (hexadecimal).
-  const std::vector<KeyOwner>& OwnersOf(const std::string& aDigest) const;
+  const std::vector<KeyOwner>& FindKeyOwners(const std::string& aDigest) const;
   //! Whether requests to aPath are idempotent according to the document.
   static bool IsRepeatable(const document::ServiceDocument& aService,
                            std::string_view aPath);
--- a/src/traffic/tests/pathtests.cpp
+++ b/src/traffic/tests/pathtests.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::uint64_t kTokens = 6;
 //! Stall limit of the test with a silent engine, which is silent for longer.
-constexpr int kSilenceLimitMs = 300;
+constexpr int kShortStallLimitMs = 300;
 
 std::string
 TokenEvent(const std::string& aId, std::uint64_t aOffset)
@@ -36,7 +36,7 @@
 }
 
 std::string
-WholeStream(const std::string& aId)
+CompleteStream(const std::string& aId)
 {
   std::string events;
   for (std::uint64_t i = 0; i < kTokens; ++i) {
@@ -46,13 +46,13 @@
 }
 
 //! Fault that a scripted engine causes in the middle of its first answer.
-enum class Break
+enum class Fault
 {
   None,
   Cut,
   Silence,
-  CrossedHead,
-  CrossedEvent
+  ForeignHead,
+  ForeignEvent
 };
 
 //! A model engine whose first answer has a fault; resumes the stream by request
@@ -60,8 +60,8 @@
 class ScriptedEngine
 {
 public:
-  explicit ScriptedEngine(Break aBreak)
-    : m_break(aBreak)
+  explicit ScriptedEngine(Fault aFault)
+    : m_fault(aFault)
   {
   }
 
@@ -96,21 +96,21 @@
 private:
   HttpResponse BreakFirst(const std::string& aId, HttpResponse aResponse)
   {
-    if (m_break == Break::None) {
-      aResponse.body = WholeStream(aId);
+    if (m_fault == Fault::None) {
+      aResponse.body = CompleteStream(aId);
       return aResponse;
     }
-    if (m_break == Break::CrossedHead) {
+    if (m_fault == Fault::ForeignHead) {
       aResponse.headers["X-Request-Id"] = "r9-1";
-      aResponse.body = WholeStream("r9-1");
+      aResponse.body = CompleteStream("r9-1");
       return aResponse;
     }
     aResponse.body = TokenEvent(aId, 0) + TokenEvent(aId, 1);
-    if (m_break == Break::CrossedEvent) {
+    if (m_fault == Fault::ForeignEvent) {
       aResponse.body += TokenEvent("r9-1", 2) + DoneEvent("r9-1");
       return aResponse;
     }
-    const bool silent = m_break == Break::Silence;
+    const bool silent = m_fault == Fault::Silence;
     aResponse.stream = [silent]() -> Chunk {
       std::this_thread::sleep_for(silent ? 1500ms : 0ms);
       return { "", true };
@@ -118,23 +118,23 @@
     return aResponse;
   }
 
-  Break m_break;
+  Fault m_fault;
 };
 
 void
-ExpectWholeAfter(Break aBreak, std::uint16_t aPort, int aResumes)
+ExpectCompleteAfter(Fault aFault, std::uint16_t aPort, int aResumes)
 {
-  ScriptedEngine engine(aBreak);
+  ScriptedEngine engine(aFault);
   TrafficFixture fixture(
     aPort,
     "model-engine",
     [&](const auto& aRequest) { return engine.Handle(aRequest); },
     false,
-    aBreak == Break::Silence ? kSilenceLimitMs : kNoStallMs);
+    aFault == Fault::Silence ? kShortStallLimitMs : kLongStallLimitMs);
   const auto answer = fixture.Call();
   cr_assert(answer.result == CURLE_OK && answer.status == 200);
-  cr_assert(answer.body == WholeStream("r1-1-1"), "%s", answer.body.c_str());
-  cr_assert(answer.Says("X-Verdict: ran"));
+  cr_assert(answer.body == CompleteStream("r1-1-1"), "%s", answer.body.c_str());
+  cr_assert(answer.HasHeader("X-Verdict: ran"));
   cr_assert(engine.runs == 1);
   cr_assert(engine.resumes == aResumes,
             "%d resumes, %s",
@@ -142,7 +142,7 @@
             fixture.metrics.Text().c_str());
   const bool stalled =
     fixture.metrics.Text().find("upstream_stalls_total 1") != std::string::npos;
-  cr_assert(stalled == (aBreak == Break::Silence));
+  cr_assert(stalled == (aFault == Fault::Silence));
   cr_assert(WaitUntil([&] { return !fixture.control->Outcomes().empty(); }));
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::Completed);
 }
@@ -186,32 +186,32 @@
 
 }
 
-Test(path, AStreamComesWholeAndOnce)
+Test(path, StreamIsDeliveredCompletelyAndOnce)
 {
-  ExpectWholeAfter(Break::None, 21000, 0);
+  ExpectCompleteAfter(Fault::None, 21000, 0);
 }
 
-Test(path, ACutStreamIsResumedWithoutLossOrCopy)
+Test(path, BrokenStreamIsResumedWithoutLossOrDuplicates)
 {
-  ExpectWholeAfter(Break::Cut, 21010, 1);
+  ExpectCompleteAfter(Fault::Cut, 21010, 1);
 }
 
-Test(path, ASilentConnectionIsReplaced)
+Test(path, StalledConnectionIsReplaced)
 {
-  ExpectWholeAfter(Break::Silence, 21020, 1);
+  ExpectCompleteAfter(Fault::Silence, 21020, 1);
 }
 
-Test(path, AnAnswerOfAnotherRequestReachesNoCaller)
+Test(path, AnswerOfAnotherRequestIsNotForwarded)
 {
-  ExpectWholeAfter(Break::CrossedHead, 21030, 1);
+  ExpectCompleteAfter(Fault::ForeignHead, 21030, 1);
 }
 
-Test(path, AnEventOfAnotherRequestReachesNoCaller)
+Test(path, EventOfAnotherRequestIsNotForwarded)
 {
-  ExpectWholeAfter(Break::CrossedEvent, 21040, 1);
+  ExpectCompleteAfter(Fault::ForeignEvent, 21040, 1);
 }
 
-Test(path, ADeadKeptConnectionNeverRunsABookingTwice)
+Test(path, ClosedKeepAliveConnectionNeverRunsARequestTwice)
 {
   std::atomic<int> runs{ 0 };
   TrafficFixture fixture(21050, "plain", [&](const HttpRequest& aRequest) {
@@ -224,21 +224,21 @@
   cr_assert(fixture.Call().status == 200);
   const auto answer = fixture.Call();
   cr_assert(answer.status == 502);
-  cr_assert(answer.Says("X-Verdict: may-have-run"));
-  cr_assert(answer.Says("Retry-After: 2"));
+  cr_assert(answer.HasHeader("X-Verdict: may-have-run"));
+  cr_assert(answer.HasHeader("Retry-After: 2"));
   cr_assert(runs == 3, "%d", runs.load());
 }
 
-Test(path, ARefusedConnectionIsNotRun)
+Test(path, RefusedConnectionIsReportedAsNotRun)
 {
   TrafficFixture fixture(21060, "plain", nullptr);
   const auto answer = fixture.Call();
   cr_assert(answer.status == 502);
-  cr_assert(answer.Says("X-Verdict: not-run"));
+  cr_assert(answer.HasHeader("X-Verdict: not-run"));
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::ConnectFailed);
 }
 
-Test(path, AnExplicitRefusalIsNotRun)
+Test(path, ExplicitRefusalIsReportedAsNotRun)
 {
   TrafficFixture fixture(21070, "plain", [](const HttpRequest& aRequest) {
     auto response = PlainAnswer(aRequest);
@@ -246,11 +246,11 @@
     response.headers["X-Not-Run"] = "true";
     return response;
   });
-  cr_assert(fixture.Call().Says("X-Verdict: not-run"));
+  cr_assert(fixture.Call().HasHeader("X-Verdict: not-run"));
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::Refused);
 }
 
-Test(path, ACrossedPlainAnswerIsDiscarded)
+Test(path, PlainAnswerOfAnotherRequestIsDiscarded)
 {
   TrafficFixture fixture(21080, "plain", [](const HttpRequest& aRequest) {
     auto response = PlainAnswer(aRequest);
@@ -260,10 +260,10 @@
   const auto answer = fixture.Call();
   cr_assert(answer.status == 502);
   cr_assert(answer.body.find("booked") == std::string::npos);
-  cr_assert(answer.Says("X-Verdict: may-have-run"));
+  cr_assert(answer.HasHeader("X-Verdict: may-have-run"));
 }
 
-Test(path, AnAnswerWithoutAnIdIsDiscarded)
+Test(path, AnswerWithoutRequestIdIsDiscarded)
 {
   TrafficFixture fixture(21090, "plain", [](const HttpRequest&) {
     HttpResponse response;
@@ -273,7 +273,7 @@
   cr_assert(fixture.Call().body.find("booked") == std::string::npos);
 }
 
-Test(path, ABrokenPlainAnswerNeverLooksWhole)
+Test(path, BrokenPlainAnswerNeverLooksComplete)
 {
   TrafficFixture fixture(21100, "plain", [](const HttpRequest& aRequest) {
     auto response = PlainAnswer(aRequest);
@@ -289,7 +289,7 @@
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::BrokenLate);
 }
 
-Test(path, ARedirectIsPassedOnNotFollowed)
+Test(path, RedirectIsForwardedNotFollowed)
 {
   std::atomic<int> runs{ 0 };
   TrafficFixture fixture(21110, "plain", [&](const HttpRequest& aRequest) {
@@ -303,20 +303,20 @@
   cr_assert(runs == 1);
 }
 
-Test(path, ALapsedPermissionSendsNothing)
+Test(path, ExpiredPermissionSendsNothing)
 {
   std::atomic<int> runs{ 0 };
   TrafficFixture fixture(21120, "plain", [&](const HttpRequest& aRequest) {
     runs++;
     return PlainAnswer(aRequest);
   });
-  fixture.control->permissionLapsed = true;
-  cr_assert(fixture.Call().Says("X-Verdict: not-run"));
+  fixture.control->permissionExpired = true;
+  cr_assert(fixture.Call().HasHeader("X-Verdict: not-run"));
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::NotSent);
   cr_assert(runs == 0);
 }
 
-Test(path, ACallerThatHangsUpCancelsTheStream)
+Test(path, CallerHangupCancelsTheStream)
 {
   std::atomic<int> cancels{ 0 };
   TrafficFixture fixture(
@@ -340,7 +340,7 @@
   cr_assert(fixture.control->Outcomes()[0] == AttemptOutcome::CallerGone);
 }
 
-Test(path, ASlowCallerHoldsTheUpstreamBack)
+Test(path, SlowCallerAppliesBackpressureToTheUpstream)
 {
   constexpr std::size_t kChunk = 65536;
   constexpr std::size_t kMost = 400;
@@ -375,7 +375,7 @@
   cr_assert(chunks < kMost / 2, "%zu", chunks.load());
 }
 
-Test(path, BadHttpIsAnsweredAndClosed)
+Test(path, InvalidHttpIsAnsweredAndClosed)
 {
   TrafficFixture fixture(21150, "plain", PlainAnswer);
   const auto nonsense =
@@ -389,7 +389,7 @@
   cr_assert(fixture.Call().status == 200);
 }
 
-Test(path, ACallerThatNeverFinishesItsRequestIsClosed)
+Test(path, IncompleteRequestTimesOut)
 {
   TrafficFixture fixture(21160, "plain", PlainAnswer);
   const auto got = RawExchange(fixture.Port(), "POST /s/x HTTP/1.1\r\nHost:");
@@ -397,14 +397,14 @@
   cr_assert(fixture.Call().status == 200);
 }
 
-Test(path, KeysDecideAndNeverLeak)
+Test(path, KeysAreCheckedAndNeverEchoed)
 {
   TrafficFixture fixture(21170, "plain", PlainAnswer);
   const auto wrong = fixture.Call("{}", "other");
   cr_assert(wrong.status == 401);
-  cr_assert(wrong.Says("X-Reason: key-unknown"));
+  cr_assert(wrong.HasHeader("X-Reason: key-unknown"));
   cr_assert(wrong.body.find("other") == std::string::npos);
-  cr_assert(fixture.Call("{}", "").Says("X-Reason: key-missing"));
+  cr_assert(fixture.Call("{}", "").HasHeader("X-Reason: key-missing"));
   cr_assert(fixture.Call("{}", "key", "/elsewhere").status == 404);
   cr_assert(fixture.control->Outcomes().empty());
 }
--- a/src/traffic/tests/stoptests.cpp
+++ b/src/traffic/tests/stoptests.cpp
@@ -21,7 +21,7 @@
 //! Sends requests on one keep-alive connection until a request fails. Returns
 //! whether part of the failed request's answer was received.
 bool
-AskUntilUnanswered(std::uint16_t aPort, std::atomic<int>& aAnswered)
+RequestUntilFailure(std::uint16_t aPort, std::atomic<int>& aAnswered)
 {
   auto* curl = curl_easy_init();
   std::size_t got = 0;
@@ -52,7 +52,7 @@
 // happened when the router ended as soon as no request was in progress: callers
 // kept their connections open, and a request that arrived between that check
 // and the end of the process was aborted.
-Test(stop, CallersThatKeepTheirConnectionsAreNotCut)
+Test(stop, KeepAliveRequestsAreNotAborted)
 {
   TrafficFixture fixture(21400, "plain", [](const HttpRequest& aRequest) {
     HttpResponse response;
@@ -61,21 +61,22 @@
     return response;
   });
   std::atomic<int> answered{ 0 };
-  std::atomic<int> cut{ 0 };
+  std::atomic<int> aborted{ 0 };
   constexpr std::size_t kCallers = 6;
   std::vector<std::thread> callers;
   callers.reserve(kCallers);
   for (std::size_t i = 0; i < kCallers; ++i) {
-    callers.emplace_back(
-      [&] { cut += AskUntilUnanswered(fixture.Port(), answered) ? 1 : 0; });
+    callers.emplace_back([&] {
+      aborted += RequestUntilFailure(fixture.Port(), answered) ? 1 : 0;
+    });
   }
   cr_assert(WaitUntil([&] { return answered > 30; }));
   fixture.traffic->CloseListener();
-  cr_assert(WaitUntil([&] { return fixture.traffic->IsQuiet(); }));
+  cr_assert(WaitUntil([&] { return fixture.traffic->IsDrained(); }));
   const auto stopped = fixture.traffic->Stop();
   for (auto& caller : callers) {
     caller.join();
   }
   cr_assert(stopped == 0, "%zu requests aborted by the stop", stopped);
-  cr_assert(cut == 0, "%d answers were incomplete", cut.load());
+  cr_assert(aborted == 0, "%d answers were incomplete", aborted.load());
 }
--- a/src/traffic/tests/trafficfixture.h
+++ b/src/traffic/tests/trafficfixture.h
@@ -55,7 +55,7 @@
           base::UpstreamId(1),
           m_upstream,
           1,
-          permissionLapsed ? base::TimePoint{} : queued->deadline });
+          permissionExpired ? base::TimePoint{} : queued->deadline });
     } else if (const auto* ended =
                  std::get_if<decision::AttemptEnded>(&aEvent)) {
       Record(*ended);
@@ -65,7 +65,7 @@
   }
 
   bool IsReady() const override { return true; }
-  AdminPage Admin(const std::string&, const std::string&) override
+  AdminPage RenderAdminPage(const std::string&, const std::string&) override
   {
     return {};
   }
@@ -77,7 +77,7 @@
   }
 
   std::atomic<int> abandoned{ 0 };
-  std::atomic<bool> permissionLapsed{ false };
+  std::atomic<bool> permissionExpired{ false };
 
 private:
   void Record(const decision::AttemptEnded& aEnded)
@@ -112,7 +112,7 @@
   std::string body;
   std::string headers;
 
-  bool Says(const std::string& aHeader) const
+  bool HasHeader(const std::string& aHeader) const
   {
     return headers.find(aHeader) != std::string::npos;
   }
@@ -120,7 +120,7 @@
 
 //! Longer than the scheduling pauses of an overloaded machine, which would
 //! otherwise look like a stalled upstream.
-constexpr int kNoStallMs = 20000;
+constexpr int kLongStallLimitMs = 20000;
 
 //! Runs a traffic plane in front of one scripted upstream.
 class TrafficFixture
@@ -132,7 +132,7 @@
                  const std::string& aKind,
                  Handler aHandler,
                  bool aRepeatable = false,
-                 int aStallLimitMs = kNoStallMs)
+                 int aStallLimitMs = kLongStallLimitMs)
     : m_port(aPort)
   {
     const base::Address upstream{ "127.0.0.1",
--- a/src/traffic/tests/traffictests.cpp
+++ b/src/traffic/tests/traffictests.cpp
@@ -34,7 +34,7 @@
 
 }
 
-Test(filters, TheLongestPathWinsAndNotHalfAWord)
+Test(filters, LongestMatchingPathPrefixWins)
 {
   const auto table = Table();
   cr_assert(table.MatchPath("/a/x")->name == "a");
@@ -43,7 +43,7 @@
   cr_assert(!table.MatchPath("/ab"));
 }
 
-Test(filters, AKeyCountsForItsServiceOnly)
+Test(filters, KeyIsValidForItsServiceOnly)
 {
   const auto table = Table();
   CallerRequest request;
@@ -60,7 +60,7 @@
   cr_assert(AuthenticateFilter{}.Apply(request, table)->status == 401);
 }
 
-Test(filters, TheSoonerDeadlineCounts)
+Test(filters, EarlierDeadlineApplies)
 {
   const auto table = Table();
   CallerRequest request;
@@ -83,7 +83,7 @@
   }
 }
 
-Test(reader, EveryCutOfAStreamGivesTheSameBytes)
+Test(reader, ChunkBoundariesDoNotChangeTheOutput)
 {
   std::string stream;
   for (int i = 0; i < 5; ++i) {
@@ -96,40 +96,40 @@
     std::size_t at = 0;
     while (at < stream.size()) {
       const auto size = *rc::gen::inRange<std::size_t>(1, 20);
-      RC_ASSERT(reader.Take(std::string_view(stream).substr(at, size), out));
+      RC_ASSERT(reader.Consume(std::string_view(stream).substr(at, size), out));
       at += size;
     }
     RC_ASSERT(out == stream);
-    RC_ASSERT(reader.IsWhole(true));
+    RC_ASSERT(reader.IsComplete(true));
   });
   cr_assert(held);
 }
 
-Test(reader, RandomBytesAreNeverPassedOn)
+Test(reader, RandomBytesAreNeverForwarded)
 {
   const bool held = rc::check("random bytes", [](const std::string& aBytes) {
     EventStreamAnswer reader("request-of-mine");
     std::string out;
-    reader.Take(aBytes + "\n\n", out);
+    reader.Consume(aBytes + "\n\n", out);
     RC_ASSERT(out.empty());
-    RC_ASSERT(!reader.IsWhole(true));
+    RC_ASSERT(!reader.IsComplete(true));
   });
   cr_assert(held);
 }
 
-Test(reader, AGapOrAnotherIdIsNotOurs)
+Test(reader, OffsetGapOrForeignIdIsRejected)
 {
   std::string out;
   EventStreamAnswer gap("r");
-  cr_assert(!gap.Take("id: r/1\ndata: x\n\n", out));
+  cr_assert(!gap.Consume("id: r/1\ndata: x\n\n", out));
   EventStreamAnswer other("r");
-  cr_assert(!other.Take("id: q/0\ndata: x\n\n", out));
+  cr_assert(!other.Consume("id: q/0\ndata: x\n\n", out));
   EventStreamAnswer copy("r");
-  cr_assert(copy.Take("id: r/0\ndata: x\n\nid: r/0\ndata: x\n\n", out));
+  cr_assert(copy.Consume("id: r/0\ndata: x\n\nid: r/0\ndata: x\n\n", out));
   cr_assert(out == "id: r/0\ndata: x\n\n");
 }
 
-Test(url, OddBytesAreEscaped)
+Test(url, UnsafeBytesAreEscaped)
 {
   cr_assert(EscapeUrl("/a b/\r\n", "/") == "/a%20b/%0D%0A");
 }
--- a/src/wire/framecodec.cpp
+++ b/src/wire/framecodec.cpp
@@ -15,15 +15,16 @@
 
 namespace {
 
+// Limits of the FlatBuffers verifier against malicious or corrupt frames
 constexpr flatbuffers::uoffset_t kMaxTables = 100000;
 constexpr flatbuffers::uoffset_t kMaxDepth = 8;
 constexpr int kWordBits = 32;
 
 template<typename Wire, typename Items, typename Convert>
 flatbuffers::Offset<flatbuffers::Vector<const Wire*>>
-PutStructs(flatbuffers::FlatBufferBuilder& aBuilder,
-           const Items& aItems,
-           Convert aConvert)
+CreateStructVector(flatbuffers::FlatBufferBuilder& aBuilder,
+                   const Items& aItems,
+                   Convert aConvert)
 {
   if (aItems.empty()) {
     return 0;
@@ -38,9 +39,9 @@
 
 template<typename Wire, typename Items, typename Convert>
 flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<Wire>>>
-PutTables(flatbuffers::FlatBufferBuilder& aBuilder,
-          const Items& aItems,
-          Convert aConvert)
+CreateTableVector(flatbuffers::FlatBufferBuilder& aBuilder,
+                  const Items& aItems,
+                  Convert aConvert)
 {
   if (aItems.empty()) {
     return 0;
@@ -55,7 +56,7 @@
 
 template<typename Item, typename Vector, typename Convert>
 std::vector<Item>
-Get(const Vector* aVector, Convert aConvert)
+ReadVector(const Vector* aVector, Convert aConvert)
 {
   std::vector<Item> items;
   if (aVector == nullptr) {
@@ -114,7 +115,7 @@
 }
 
 quarantine::RequestFingerprint
-Join(std::uint32_t aLow, std::uint32_t aHigh)
+JoinHalves(std::uint32_t aLow, std::uint32_t aHigh)
 {
   return quarantine::RequestFingerprint((std::uint64_t{ aHigh } << kWordBits) |
                                         aLow);
@@ -140,7 +141,7 @@
 quarantine::CrashReport
 GetCrash(const fb::FrameCrash& aCrash)
 {
-  return { Join(aCrash.request_low(), aCrash.request_high()),
+  return { JoinHalves(aCrash.request_low(), aCrash.request_high()),
            base::UpstreamId(aCrash.upstream()),
            base::Duration(aCrash.age_ms()) };
 }
@@ -156,7 +157,7 @@
 quarantine::ClearanceReport
 GetClearance(const fb::FrameClearance& aClearance)
 {
-  return { Join(aClearance.request_low(), aClearance.request_high()),
+  return { JoinHalves(aClearance.request_low(), aClearance.request_high()),
            base::Duration(aClearance.age_ms()) };
 }
 
@@ -226,33 +227,34 @@
 EncodeFrame(const decision::Frame& aFrame)
 {
   flatbuffers::FlatBufferBuilder builder;
-  const auto members = PutStructs<fb::Member>(
+  const auto members = CreateStructVector<fb::Member>(
     builder, aFrame.members, [](const decision::MemberNotice& aOne) {
       return fb::Member(base::Raw(aOne.router),
                         aOne.incarnation,
                         static_cast<std::uint8_t>(aOne.state));
     });
   const auto hosts =
-    PutTables<fb::Host>(builder, aFrame.hosts, [&](const auto& aOne) {
+    CreateTableVector<fb::Host>(builder, aFrame.hosts, [&](const auto& aOne) {
       return PutHost(builder, aOne);
     });
-  const auto versions =
-    PutTables<fb::Version>(builder, aFrame.versions, [&](const auto& aOne) {
+  const auto versions = CreateTableVector<fb::Version>(
+    builder, aFrame.versions, [&](const auto& aOne) {
       return fb::CreateVersionDirect(builder, aOne.name.c_str(), aOne.revision);
     });
-  const auto documents =
-    PutTables<fb::Document>(builder, aFrame.documents, [&](const auto& aOne) {
+  const auto documents = CreateTableVector<fb::Document>(
+    builder, aFrame.documents, [&](const auto& aOne) {
       const auto name = builder.CreateString(aOne.name);
       const auto text = builder.CreateString(aOne.text);
       return fb::CreateDocument(builder, name, aOne.revision, text);
     });
-  const auto up = PutStructs<fb::Demand>(builder, aFrame.up, PutDemand);
-  const auto down = PutStructs<fb::Total>(builder, aFrame.down, PutTotal);
-  const auto hints = PutStructs<fb::Hint>(
+  const auto up = CreateStructVector<fb::Demand>(builder, aFrame.up, PutDemand);
+  const auto down =
+    CreateStructVector<fb::Total>(builder, aFrame.down, PutTotal);
+  const auto hints = CreateStructVector<fb::Hint>(
     builder, aFrame.hints, [](const decision::FreeHint& aOne) {
       return fb::Hint(base::Raw(aOne.upstream), aOne.free);
     });
-  const auto reports = PutStructs<fb::Report>(
+  const auto reports = CreateStructVector<fb::Report>(
     builder, aFrame.reports, [](const decision::SlotReport& aOne) {
       return fb::Report(base::Raw(aOne.upstream),
                         aOne.ownerBoot,
@@ -262,14 +264,14 @@
                         aOne.want,
                         aOne.urgency);
     });
-  const auto grants = PutStructs<fb::Grant>(
+  const auto grants = CreateStructVector<fb::Grant>(
     builder, aFrame.grants, [](const decision::SlotGrant& aOne) {
       return fb::Grant(
         base::Raw(aOne.upstream), aOne.sequence, aOne.granted, aOne.wantedBack);
     });
-  const auto crashes =
-    PutStructs<fb::FrameCrash>(builder, aFrame.crashNews.crashes, PutCrash);
-  const auto clearances = PutStructs<fb::FrameClearance>(
+  const auto crashes = CreateStructVector<fb::FrameCrash>(
+    builder, aFrame.crashNews.crashes, PutCrash);
+  const auto clearances = CreateStructVector<fb::FrameClearance>(
     builder, aFrame.crashNews.clearances, PutClearance);
   fb::FinishFrameBuffer(builder,
                         fb::CreateFrame(builder,
@@ -318,32 +320,32 @@
   frame.digest = wire->digest();
   frame.membersDigest = wire->members_digest();
   frame.wantsSnapshot = wire->wants_snapshot();
-  frame.members =
-    Get<decision::MemberNotice>(wire->members(), [](const fb::Member& aOne) {
+  frame.members = ReadVector<decision::MemberNotice>(
+    wire->members(), [](const fb::Member& aOne) {
       return decision::MemberNotice{ base::RouterId(aOne.router()),
                                      aOne.incarnation(),
                                      EnumOf(aOne.state(),
                                             decision::MemberState::Dead) };
     });
-  frame.hosts = Get<decision::HostEntry>(wire->hosts(), GetHost);
-  frame.versions = Get<decision::DocumentVersion>(
+  frame.hosts = ReadVector<decision::HostEntry>(wire->hosts(), GetHost);
+  frame.versions = ReadVector<decision::DocumentVersion>(
     wire->versions(), [](const fb::Version& aOne) {
       return decision::DocumentVersion{ TextOf(aOne.name()), aOne.revision() };
     });
-  frame.documents = Get<decision::DocumentBody>(
+  frame.documents = ReadVector<decision::DocumentBody>(
     wire->documents(), [](const fb::Document& aOne) {
       return decision::DocumentBody{ TextOf(aOne.name()),
                                      aOne.revision(),
                                      TextOf(aOne.text()) };
     });
-  frame.up = Get<decision::DemandEntry>(wire->up(), GetDemand);
-  frame.down = Get<decision::TotalEntry>(wire->down(), GetTotal);
-  frame
-    .hints = Get<decision::FreeHint>(wire->hints(), [](const fb::Hint& aOne) {
+  frame.up = ReadVector<decision::DemandEntry>(wire->up(), GetDemand);
+  frame.down = ReadVector<decision::TotalEntry>(wire->down(), GetTotal);
+  frame.hints = ReadVector<
+    decision::FreeHint>(wire->hints(), [](const fb::Hint& aOne) {
     return decision::FreeHint{ base::UpstreamId(aOne.upstream()), aOne.free() };
   });
-  frame.reports =
-    Get<decision::SlotReport>(wire->reports(), [](const fb::Report& aOne) {
+  frame.reports = ReadVector<decision::SlotReport>(
+    wire->reports(), [](const fb::Report& aOne) {
       return decision::SlotReport{ base::UpstreamId(aOne.upstream()),
                                    aOne.owner_boot(),
                                    aOne.acked_grant(),
@@ -353,16 +355,16 @@
                                    aOne.urgency() };
     });
   frame.grants =
-    Get<decision::SlotGrant>(wire->grants(), [](const fb::Grant& aOne) {
+    ReadVector<decision::SlotGrant>(wire->grants(), [](const fb::Grant& aOne) {
       return decision::SlotGrant{ base::UpstreamId(aOne.upstream()),
                                   aOne.sequence(),
                                   aOne.granted(),
                                   aOne.wanted_back() };
     });
   frame.crashNews.crashes =
-    Get<quarantine::CrashReport>(wire->crashes(), GetCrash);
+    ReadVector<quarantine::CrashReport>(wire->crashes(), GetCrash);
   frame.crashNews.clearances =
-    Get<quarantine::ClearanceReport>(wire->clearances(), GetClearance);
+    ReadVector<quarantine::ClearanceReport>(wire->clearances(), GetClearance);
   return frame;
 }
 
--- a/src/wire/tests/wiretests.cpp
+++ b/src/wire/tests/wiretests.cpp
@@ -60,7 +60,7 @@
 
 }
 
-Test(wire, AFrameComesBackAsItWas)
+Test(wire, FrameRoundTrips)
 {
   const auto frame = FullFrame(3);
   const auto copy = wire::DecodeFrame(wire::EncodeFrame(frame));
@@ -78,7 +78,7 @@
   cr_assert(wire::EncodeFrame(copy) == wire::EncodeFrame(frame));
 }
 
-Test(wire, TheBudgetNeverCountsFewerBytesThanGoOut)
+Test(wire, EstimateNeverUndercountsFrameBytes)
 {
   for (const std::size_t entries : { 0U, 1U, 5U, 40U }) {
     const auto frame = FullFrame(entries);
@@ -89,7 +89,7 @@
   }
 }
 
-Test(wire, RandomBytesAreRefusedNotFatal)
+Test(wire, InvalidBytesThrowBadFrame)
 {
   const bool random =
     rc::check("random bytes", [](const std::vector<std::uint8_t>& aBytes) {
