--- a/src/http/clientconnection.cpp
+++ b/src/http/clientconnection.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::size_t kReadBytes = 16384;
 constexpr int kFirstFinalStatus = 200;
-//! Answers to something else that are passed over on one connection.
-constexpr int kMaxSkipped = 3;
+//! Responses to other requests that are skipped before the exchange fails.
+constexpr int kMaxSkippedAnswers = 3;
 
 }
 
@@ -28,16 +28,16 @@
 {
   auto& owner = m_owner;
   if (aHead.status < kFirstFinalStatus) {
-    owner.m_skipping = true; // interim: the answer is still to come
+    owner.m_isSkipping = true; // interim response: the final one follows
     return;
   }
   owner.m_answerKeepAlive =
     aHead.keepAlive && aHead.framing != Framing::UntilClose;
   const auto verdict = owner.m_events->OnAnswerHead(owner, std::move(aHead));
-  owner.m_skipping = verdict == IClientEvents::HeadVerdict::Skip;
-  owner.m_dropped = verdict == IClientEvents::HeadVerdict::Drop;
-  if (owner.m_skipping) {
-    owner.m_skipped++;
+  owner.m_isSkipping = verdict == IClientEvents::HeadVerdict::Skip;
+  owner.m_isRejected = verdict == IClientEvents::HeadVerdict::Drop;
+  if (owner.m_isSkipping) {
+    owner.m_skippedAnswers++;
   }
 }
 
@@ -45,7 +45,8 @@
 ClientConnection::Sink::OnBody(std::string_view aBytes)
 {
   auto& owner = m_owner;
-  if (!owner.m_skipping && !owner.m_dropped && owner.m_state == State::Busy) {
+  if (!owner.m_isSkipping && !owner.m_isRejected &&
+      owner.m_state == State::Busy) {
     owner.m_events->OnAnswerBody(owner, aBytes);
   }
 }
@@ -81,8 +82,8 @@
   }
   m_stream.enable(ACE_NONBLOCK);
   eventloop::SetPeerOptions(m_stream);
-  m_watched = EPOLLOUT;
-  m_loop.Add(m_stream.get_handle(), *this, m_watched);
+  m_watchedEvents = EPOLLOUT;
+  m_loop.Add(m_stream.get_handle(), *this, m_watchedEvents);
   m_registered = true;
 }
 
@@ -104,13 +105,13 @@
 ClientConnection::Send(std::string aRequest, bool aIsHead)
 {
   requests++;
-  m_out = std::move(aRequest);
-  m_sent = 0;
+  m_outBuffer = std::move(aRequest);
+  m_sentBytes = 0;
   m_isHead = aIsHead;
   m_requestBytesSent = false;
-  m_skipping = false;
-  m_skipped = 0;
-  m_dropped = false;
+  m_isSkipping = false;
+  m_skippedAnswers = 0;
+  m_isRejected = false;
   m_reader.Next(aIsHead);
   if (m_state == State::Idle) {
     m_state = State::Busy;
@@ -124,7 +125,7 @@
 {
   if (m_reading != aOn && m_state != State::Closed) {
     m_reading = aOn;
-    Watch();
+    UpdateWatchedEvents();
   }
 }
 
@@ -132,21 +133,21 @@
 ClientConnection::IsStale()
 {
   char byte = 0;
-  const auto got =
+  const auto received =
     recv(m_stream.get_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 void
-ClientConnection::Watch()
+ClientConnection::UpdateWatchedEvents()
 {
   if (!m_registered) {
     return;
   }
   std::uint32_t events = m_reading ? EPOLLIN : 0U;
-  events |= m_sent < m_out.size() ? EPOLLOUT : 0U;
-  if (events != m_watched) {
-    m_watched = events;
+  events |= m_sentBytes < m_outBuffer.size() ? EPOLLOUT : 0U;
+  if (events != m_watchedEvents) {
+    m_watchedEvents = events;
     m_loop.Modify(m_stream.get_handle(), events);
   }
 }
@@ -162,7 +163,7 @@
       Fail(ClientFailure::NotConnected);
       return;
     }
-    m_state = m_out.empty() ? State::Idle : State::Busy;
+    m_state = m_outBuffer.empty() ? State::Idle : State::Busy;
     m_since = m_loop.Now();
     Flush();
     return;
@@ -178,68 +179,68 @@
 void
 ClientConnection::Flush()
 {
-  while (m_sent < m_out.size()) {
-    const auto put =
-      m_stream.send(m_out.data() + m_sent, m_out.size() - m_sent);
-    if (put > 0) {
-      m_sent += static_cast<std::size_t>(put);
+  while (m_sentBytes < m_outBuffer.size()) {
+    const auto sent = m_stream.send(m_outBuffer.data() + m_sentBytes,
+                                    m_outBuffer.size() - m_sentBytes);
+    if (sent > 0) {
+      m_sentBytes += static_cast<std::size_t>(sent);
       m_requestBytesSent = true;
       continue;
     }
     if (errno == EWOULDBLOCK || errno == EINTR) {
       break;
     }
-    Fail(BreakKind());
+    Fail(BreakFailure());
     return;
   }
-  if (m_sent == m_out.size() && !m_out.empty()) {
-    std::string().swap(m_out);
-    m_sent = 0;
+  if (m_sentBytes == m_outBuffer.size() && !m_outBuffer.empty()) {
+    std::string().swap(m_outBuffer);
+    m_sentBytes = 0;
   }
-  Watch();
+  UpdateWatchedEvents();
 }
 
 void
 ClientConnection::Read()
 {
   std::array<char, kReadBytes> buffer;
-  const auto got = m_stream.recv(buffer.data(), buffer.size());
-  if (got > 0) {
-    TakeBytes({ buffer.data(), static_cast<std::size_t>(got) });
-  } else if (got == 0) {
-    TakeEnd(false);
+  const auto received = m_stream.recv(buffer.data(), buffer.size());
+  if (received > 0) {
+    HandleBytes({ buffer.data(), static_cast<std::size_t>(received) });
+  } else if (received == 0) {
+    HandleEnd(false);
   } else if (errno != EWOULDBLOCK && errno != EINTR) {
-    TakeEnd(true);
+    HandleEnd(true);
   }
 }
 
 void
-ClientConnection::TakeBytes(std::string_view aBytes)
+ClientConnection::HandleBytes(std::string_view aBytes)
 {
   if (m_state == State::Idle) {
-    Close(); // bytes that answer nothing
+    Close(); // no request was sent, so these bytes answer none
     m_events->OnIdleClosed(*this);
     return;
   }
   while (!aBytes.empty() && m_state == State::Busy) {
-    const auto taken = m_reader.Feed(aBytes);
-    aBytes.remove_prefix(taken);
+    const auto consumed = m_reader.Feed(aBytes);
+    aBytes.remove_prefix(consumed);
     if (m_state != State::Busy) {
-      return; // the owner closed it
+      return; // the event receiver closed it
     }
-    if (m_dropped || m_reader.GetFault() != Fault::None) {
+    if (m_isRejected || m_reader.GetFault() != Fault::None) {
       Fail(ClientFailure::BadAnswer);
       return;
     }
     if (!m_reader.HasEnded()) {
       continue;
     }
-    if (m_skipping && m_skipped <= kMaxSkipped) {
-      m_skipping = false;
+    if (m_isSkipping && m_skippedAnswers <= kMaxSkippedAnswers) {
+      m_isSkipping = false;
       m_reader.Next(m_isHead);
       continue;
     }
-    if (m_skipping) {
+    if (m_isSkipping) {
       Fail(ClientFailure::BadAnswer);
       return;
     }
@@ -252,7 +253,7 @@
 void
 ClientConnection::EndMessage()
 {
-  const bool allSent = m_sent == m_out.size();
+  const bool allSent = m_sentBytes == m_outBuffer.size();
   const bool reusable = m_answerKeepAlive && allSent;
   if (reusable) {
     m_state = State::Idle;
@@ -265,35 +266,35 @@
 }
 
 void
-ClientConnection::TakeEnd(bool aReset)
+ClientConnection::HandleEnd(bool aReset)
 {
   if (m_state == State::Idle) {
     Close();
     m_events->OnIdleClosed(*this);
     return;
   }
-  if (!aReset && !m_skipping) {
+  if (!aReset && !m_isSkipping) {
     m_reader.FeedEnd();
     if (m_state != State::Busy) {
       return;
     }
-    if (m_reader.HasEnded() && !m_dropped && !m_skipping) {
+    if (m_reader.HasEnded() && !m_isRejected && !m_isSkipping) {
       m_answerKeepAlive = false;
       EndMessage();
       return;
     }
   }
-  Fail(BreakKind());
+  Fail(BreakFailure());
 }
 
 ClientFailure
-ClientConnection::BreakKind() const
+ClientConnection::BreakFailure() const
 {
   if (!m_requestBytesSent) {
     return ClientFailure::NotConnected;
   }
-  return m_reader.HasHead() && !m_skipping ? ClientFailure::BrokenInAnswer
-                                           : ClientFailure::BrokenUnanswered;
+  return m_reader.HasHead() && !m_isSkipping ? ClientFailure::BrokenInAnswer
+                                             : ClientFailure::BrokenUnanswered;
 }
 
 void
--- a/src/http/clientconnection.h
+++ b/src/http/clientconnection.h
@@ -21,13 +21,13 @@
 
 class ClientConnection;
 
-//! How an exchange on a connection failed.
+//! How an HTTP exchange on a client connection failed.
 enum class ClientFailure : std::uint8_t
 {
-  NotConnected,     //!< no byte of the request was handed to the connection
-  BrokenUnanswered, //!< sent, and no byte of the answer came
-  BrokenInAnswer,   //!< the answer stopped on its way
-  BadAnswer         //!< what came is no answer in the protocol
+  NotConnected,     //!< no byte of the request was sent
+  BrokenUnanswered, //!< bytes were sent, but no final response head came
+  BrokenInAnswer,   //!< the connection broke after the response head
+  BadAnswer         //!< the response is malformed or was rejected
 };
 inline constexpr auto kClientFailureNames =
   base::MakeEnumNames<ClientFailure>("not-connected",
@@ -35,15 +35,16 @@
                                      "broken-in-answer",
                                      "bad-answer");
 
-//! Told what happens on a ClientConnection.
+//! Receives the events of a ClientConnection.
 class IClientEvents
 {
 public:
+  //! What to do with a response after its head was read.
   enum class HeadVerdict : std::uint8_t
   {
     Take,
-    Skip, //!< it answers something else; the next answer may be ours
-    Drop  //!< nothing on this connection can be trusted
+    Skip, //!< it belongs to another request; wait for the next response
+    Drop  //!< close the connection: its responses cannot be trusted
   };
 
   virtual ~IClientEvents() = default;
@@ -54,15 +55,15 @@
                             std::string_view aBytes) = 0;
   //! aReusable: the connection can carry another request.
   virtual void OnAnswerEnd(ClientConnection& aConnection, bool aReusable) = 0;
-  //! The connection is closed.
+  //! The exchange failed; the connection is already closed.
   virtual void OnFailed(ClientConnection& aConnection,
                         ClientFailure aFailure) = 0;
-  //! The connection closed while nothing was in progress on it.
+  //! The connection closed while no request was in progress.
   virtual void OnIdleClosed(ClientConnection& aConnection) = 0;
 };
 
-//! The client's end of one HTTP/1.1 connection: one request at a time, and
-//! nothing is ever sent twice by itself.
+//! The client side of one HTTP/1.1 connection. Carries one request at a time
+//! and never resends a request on its own.
 class ClientConnection : public eventloop::IIoHandler
 {
 public:
@@ -73,31 +74,33 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  //! Sends a whole request, once the connection is open.
+  //! Sends a complete request as soon as the connection is open. aIsHead: it
+  //! is a HEAD request, whose response has no body.
   void Send(std::string aRequest, bool aIsHead = false);
-  //! The owner is who is told from now on.
+  //! Sends all later events to aEvents.
   void SetEvents(IClientEvents& aEvents) { m_events = &aEvents; }
-  //! Ends it without a word to the owner.
+  //! Closes the connection without notifying the event receiver.
   void Close();
-  //! Stops or goes on reading, for a reader behind that is slow. A pause
-  //! ends with its answer.
+  //! Pauses or resumes reading, as flow control for a slow consumer. Reading
+  //! resumes by itself at the end of the response.
   void SetReading(bool aOn);
-  //! Looks whether the other end has closed an idle connection or sent
-  //! something; asked right before a request that must not be sent twice.
+  //! Whether the peer has closed this idle connection or sent unexpected
+  //! bytes. Checked right before sending a request that must not be retried.
   bool IsStale();
 
   bool IsConnecting() const { return m_state == State::Connecting; }
   bool IsOpen() const { return m_state != State::Closed; }
   bool HasSentBytes() const { return m_requestBytesSent; }
-  //! Since when it connects, is idle or carries its request.
+  //! When the current state (connecting, idle or busy) began.
   base::TimePoint Since() const { return m_since; }
   const base::Address& PeerAddress() const { return m_address; }
 
   void OnIo(std::uint32_t aEvents) override;
 
-  //! Requests carried so far, this one included.
+  //! Requests sent on this connection, including the current one.
   int requests = 0;
-  //! How long the other end says it keeps it idle; 0: it did not say.
+  //! How long the peer keeps an idle connection open, as it announced; 0 if
+  //! it did not.
   base::Duration keepAlive{};
 
 private:
@@ -127,12 +130,12 @@
   void Connect();
   void Flush();
   void Read();
-  void TakeBytes(std::string_view aBytes);
-  void TakeEnd(bool aReset);
+  void HandleBytes(std::string_view aBytes);
+  void HandleEnd(bool aReset);
   void EndMessage();
   void Fail(ClientFailure aFailure);
-  ClientFailure BreakKind() const;
-  void Watch();
+  ClientFailure BreakFailure() const;
+  void UpdateWatchedEvents();
 
   eventloop::EventLoop& m_loop;
   base::Address m_address;
@@ -142,17 +145,17 @@
   MessageReader m_reader{ MessageReader::Side::Responses, m_sink };
   State m_state = State::Connecting;
   base::TimePoint m_since{};
-  std::string m_out;
-  std::size_t m_sent = 0;
-  std::uint32_t m_watched = 0;
+  std::string m_outBuffer;
+  std::size_t m_sentBytes = 0;
+  std::uint32_t m_watchedEvents = 0;
   bool m_registered = false;
   bool m_reading = true;
   bool m_isHead = false;
   bool m_requestBytesSent = false;
   bool m_answerKeepAlive = true;
-  bool m_skipping = false;
-  bool m_dropped = false;
-  int m_skipped = 0;
+  bool m_isSkipping = false;
+  bool m_isRejected = false;
+  int m_skippedAnswers = 0;
 };
 
 }
--- a/src/http/connectionset.cpp
+++ b/src/http/connectionset.cpp
@@ -62,11 +62,12 @@
 }
 
 std::size_t
-ConnectionSet::CloseLongestIdle(std::size_t aMost)
+ConnectionSet::CloseLongestIdle(std::size_t aMaxCount)
 {
   auto idle = All();
-  std::erase_if(idle, [](const auto* aOne) { return !aOne->IsIdle(); });
-  const auto count = std::min(aMost, idle.size());
+  std::erase_if(idle,
+                [](const auto* aConnection) { return !aConnection->IsIdle(); });
+  const auto count = std::min(aMaxCount, idle.size());
   std::partial_sort(idle.begin(),
                     idle.begin() + static_cast<std::ptrdiff_t>(count),
                     idle.end(),
--- a/src/http/connectionset.h
+++ b/src/http/connectionset.h
@@ -16,8 +16,9 @@
 
 namespace hemlockgauge::http {
 
-//! Owns the connections of a server. A connection that has closed lives
-//! until the end of the loop's round, for it may be in one of its calls.
+//! Owns the connections of a server. A closed connection is deleted only
+//! after the current loop iteration, because one of its methods may still be
+//! on the call stack.
 class ConnectionSet
 {
 public:
@@ -28,17 +29,20 @@
   ConnectionSet(const ConnectionSet&) = delete;
   ConnectionSet& operator=(const ConnectionSet&) = delete;
 
-  //! aReadNow: see ServerConnection::StartReading.
+  //! Takes over an accepted connection. aReadNow: calls
+  //! ServerConnection::StartReading instead of Start.
   void Add(const ACE_SOCK_Stream& aStream, bool aReadNow = false);
-  //! To be called from IServerEvents::OnClosed.
+  //! Removes a closed connection. Must be called from
+  //! IServerEvents::OnClosed.
   void Forget(ServerConnection& aConnection);
+  //! Enforces the timeouts of all connections.
   void Sweep(base::TimePoint aNow);
   void CloseIdle();
-  //! Breaks off whatever is in progress.
+  //! Closes all connections, aborting requests in progress.
   void AbortAll();
-  //! Closes up to aMost idle connections, the longest idle first; returns
-  //! how many.
-  std::size_t CloseLongestIdle(std::size_t aMost);
+  //! Closes up to aMaxCount idle connections, the longest idle first. Returns
+  //! how many it closed.
+  std::size_t CloseLongestIdle(std::size_t aMaxCount);
   std::size_t Size() const { return m_connections.size(); }
 
 private:
--- a/src/http/httptypes.cpp
+++ b/src/http/httptypes.cpp
@@ -9,14 +9,15 @@
 
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
-constexpr std::size_t kNumberDigits = 24;
+//! Enough for any 64-bit number.
+constexpr std::size_t kMaxDigits = 24;
 
 void
 AppendNumber(std::string& aOut, std::uint64_t aValue, int aBase)
 {
-  char digits[kNumberDigits];
+  char digits[kMaxDigits];
   const auto end =
-    std::to_chars(digits, digits + kNumberDigits, aValue, aBase).ptr;
+    std::to_chars(digits, digits + kMaxDigits, aValue, aBase).ptr;
   aOut.append(digits, end);
 }
 
--- a/src/http/httptypes.h
+++ b/src/http/httptypes.h
@@ -16,38 +16,40 @@
   std::string value;
 };
 
-//! Header fields in the order they came; names compare without case.
+//! Header fields in the order received. Names are case-insensitive.
 struct HeaderList
 {
   std::vector<HeaderField> fields;
 
+  //! The value of the first field with this name; null if there is none.
   const std::string* Find(std::string_view aName) const;
   std::size_t CountOf(std::string_view aName) const;
 };
 
+//! Whether two field names are equal, ignoring case.
 bool
 SameName(std::string_view aFirst, std::string_view aSecond);
 
-//! Whether the comma-separated list holds the word, without case.
+//! Whether the comma-separated list contains the word, ignoring case.
 bool
 ListHolds(std::string_view aList, std::string_view aWord);
 
-//! How the end of a body is told.
+//! How the end of a message body is determined (RFC 9112).
 enum class Framing : std::uint8_t
 {
-  None, //!< there is no body
-  Length,
-  Chunked,
-  UntilClose
+  None,      //!< there is no body
+  Length,    //!< by Content-Length
+  Chunked,   //!< by the last chunk
+  UntilClose //!< the connection closes
 };
 
 struct RequestHead
 {
   std::string method;
-  std::string target; //!< path and query as they came
+  std::string target; //!< path and query, not decoded
   HeaderList headers;
   bool keepAlive = true;
-  std::optional<std::uint64_t> length;
+  std::optional<std::uint64_t> length; //!< Content-Length
 };
 
 struct ResponseHead
@@ -57,10 +59,10 @@
   HeaderList headers;
   bool keepAlive = true;
   Framing framing = Framing::None;
-  std::uint64_t length = 0; //!< of Framing::Length
+  std::uint64_t length = 0; //!< Content-Length, if framing is Length
 };
 
-//! Why bytes are no message that is taken.
+//! Why a message was rejected.
 enum class Fault : std::uint8_t
 {
   None,
@@ -75,18 +77,21 @@
                                                                "body-too-large",
                                                                "timeout");
 
-//! "HTTP/1.1 200 OK\r\n" and the fields, without the blank line.
+//! Appends the status line, e.g. "HTTP/1.1 200 OK\r\n".
 void
 AppendStatusLine(std::string& aOut, int aStatus, std::string_view aReason);
+//! Appends "NAME: VALUE\r\n".
 void
 AppendField(std::string& aOut, std::string_view aName, std::string_view aValue);
 void
 AppendNumberField(std::string& aOut,
                   std::string_view aName,
                   std::uint64_t aValue);
+//! Appends one chunk of a chunked body; nothing if aBytes is empty.
 void
 AppendChunk(std::string& aOut, std::string_view aBytes);
 
+//! Ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 }
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-constexpr int kAcceptsPerRound = 64;
+//! Connections accepted per event, so that one listener cannot starve the
+//! rest of the loop.
+constexpr int kMaxAcceptsPerEvent = 64;
 
 }
 
@@ -28,11 +30,11 @@
   const auto queue = static_cast<int>(aQueue);
   if (m_acceptor.open(address, 1, PF_INET, queue) == -1) {
     throw base::Error(base::ErrorCode::Unreachable,
-                      aAddress.Text() + ": can't be listened on");
+                      aAddress.Text() + ": cannot listen on this address");
   }
   m_acceptor.enable(ACE_NONBLOCK);
-  //! NOTE accepted connections inherit the options, which saves two calls
-  //! for each under a flood.
+  // Accepted connections inherit these options, which saves two system calls
+  // per connection under a flood.
   eventloop::SetCallerOptions(m_acceptor);
   m_loop.Add(m_acceptor.get_handle(), *this, EPOLLIN);
   m_open = true;
@@ -66,8 +68,8 @@
 void
 Listener::OnIo(std::uint32_t)
 {
-  for (int i = 0; i < kAcceptsPerRound && m_open && !m_paused; ++i) {
-    //! NOTE ACE takes a second call to make it non-blocking.
+  for (int i = 0; i < kMaxAcceptsPerEvent && m_open && !m_paused; ++i) {
+    // ACE would need a second system call to make the socket non-blocking.
     const int accepted = accept4(
       m_acceptor.get_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted == -1) {
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -15,7 +15,8 @@
 
 namespace hemlockgauge::http {
 
-//! Accepts TCP connections and hands each over, non-blocking.
+//! Accepts TCP connections and passes each to a callback as a non-blocking
+//! socket.
 class Listener : public eventloop::IIoHandler
 {
 public:
@@ -23,9 +24,9 @@
 
   using OnConnection = std::function<void(const ACE_SOCK_Stream& aStream)>;
 
-  //! aQueue: connections that may wait to be accepted; more are dropped, and
-  //! the kernels of their callers try again. Throws Error(Unreachable) if the
-  //! address can't be listened on.
+  //! aQueue: the listen backlog. Connections beyond it are dropped, and the
+  //! callers' kernels retry. Throws Error(Unreachable) if the address cannot
+  //! be bound.
   Listener(eventloop::EventLoop& aLoop,
            const base::Address& aAddress,
            OnConnection aOnConnection,
@@ -35,7 +36,7 @@
   Listener& operator=(const Listener&) = delete;
 
   void Close();
-  //! While paused, connections wait.
+  //! While paused, new connections wait in the listen backlog.
   void Pause(bool aPaused);
   bool IsPaused() const { return m_paused; }
   bool IsOpen() const { return m_open; }
--- a/src/http/messagereader.cpp
+++ b/src/http/messagereader.cpp
@@ -11,12 +11,13 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 constexpr int kFirstFinalStatus = 200;
+// Results of the on_headers_complete callback of http_parser.
 constexpr int kSkipBody = 1;
-constexpr int kRefuseHead = -1;
-//! ": " and the end of the line.
+constexpr int kRejectHead = -1;
+//! The bytes of ": " and "\r\n".
 constexpr std::size_t kFieldOverhead = 4;
 
-//! The characters of a token (RFC 9110).
+//! Whether a character may be part of a token (RFC 9110).
 bool
 IsTokenChar(char aChar)
 {
@@ -25,20 +26,21 @@
            std::string_view::npos;
 }
 
-//! NOTE the parser takes blanks in names and control characters in values;
-//! passed on, the next one on the way could read them as something else.
+//! Whether a field has a valid name and value. http_parser accepts blanks in
+//! names and control characters in values; if forwarded, the next hop could
+//! interpret them differently (request smuggling).
 bool
-IsClean(const HeaderField& aField)
+IsValidField(const HeaderField& aField)
 {
-  const bool cleanName =
+  const bool validName =
     !aField.name.empty() &&
     std::all_of(aField.name.begin(), aField.name.end(), IsTokenChar);
-  const bool cleanValue =
+  const bool validValue =
     std::none_of(aField.value.begin(), aField.value.end(), [](char aChar) {
       const auto code = static_cast<unsigned char>(aChar);
       return (code < ' ' && aChar != '\t') || code == 0x7f;
     });
-  return cleanName && cleanValue;
+  return validName && validValue;
 }
 
 MessageReader&
@@ -98,14 +100,14 @@
   }
   m_started = true;
   const bool wasInHead = !m_hasHead;
-  const auto taken =
+  const auto consumed =
     http_parser_execute(&m_parser, &Callbacks(), aBytes.data(), aBytes.size());
   if (wasInHead) {
-    m_headBytes += taken;
+    m_headBytes += consumed;
   }
   const auto error = HTTP_PARSER_ERRNO(&m_parser);
   if (m_fault != Fault::None) {
-    return taken;
+    return consumed;
   }
   if (error != HPE_OK && error != HPE_PAUSED) {
     m_fault =
@@ -115,7 +117,7 @@
   } else if (m_parser.upgrade != 0) {
     m_fault = Fault::Syntax;
   }
-  return taken;
+  return consumed;
 }
 
 void
@@ -153,7 +155,7 @@
 {
   auto& self = ReaderOf(aParser);
   if (self.m_hasHead) {
-    return 0; // trailers after a chunked body are not passed on
+    return 0; // trailers after a chunked body are not forwarded
   }
   if (self.m_inValue || self.m_headers.fields.empty()) {
     self.m_headers.fields.emplace_back();
@@ -240,13 +242,13 @@
 {
   m_hasHead = true;
   const auto& fields = m_headers.fields;
-  if (!std::all_of(fields.begin(), fields.end(), IsClean)) {
-    return kRefuseHead;
+  if (!std::all_of(fields.begin(), fields.end(), IsValidField)) {
+    return kRejectHead;
   }
-  //! NOTE a head that comes in one piece is seen here for the first time.
+  // A head that arrives in one piece has not passed the check in Feed.
   if (HeadBytes() > m_maxHeadBytes) {
     m_fault = Fault::HeadTooLarge;
-    return kRefuseHead;
+    return kRejectHead;
   }
   const bool hasLength = (m_parser.flags & F_CONTENTLENGTH) != 0;
   const bool keepAlive = http_should_keep_alive(&m_parser) != 0;
--- a/src/http/messagereader.h
+++ b/src/http/messagereader.h
@@ -9,7 +9,7 @@
 
 namespace hemlockgauge::http {
 
-//! Told what a MessageReader reads, in order.
+//! Receives the parts of each message from a MessageReader, in order.
 class IMessageSink
 {
 public:
@@ -21,8 +21,8 @@
   virtual void OnMessageEnd() = 0;
 };
 
-//! Reads HTTP/1 messages from bytes as they come, one message at a time:
-//! after the end of each, it takes no more until Next.
+//! Incremental parser for HTTP/1 messages. After the end of each message it
+//! consumes no bytes until Next is called.
 class MessageReader
 {
 public:
@@ -34,18 +34,20 @@
 
   MessageReader(Side aSide, IMessageSink& aSink);
 
-  //! Returns how many bytes were taken; fewer than given only at the end of
-  //! a message or at a fault.
+  //! Parses aBytes and returns how many were consumed: all of them, unless the
+  //! message ends or a fault is found.
   std::size_t Feed(std::string_view aBytes);
-  //! The connection's sender closed it; may end a message without a length.
+  //! Reports that the peer closed the connection. Ends a message that is
+  //! framed by the close; any other incomplete message is a syntax fault.
   void FeedEnd();
-  //! Prepares for the next message; aNoBody if it answers a HEAD request.
+  //! Prepares for the next message. aNoBody: it is the response to a HEAD
+  //! request and has no body.
   void Next(bool aNoBody = false);
 
   bool HasEnded() const { return m_ended; }
   bool HasHead() const { return m_hasHead; }
   Fault GetFault() const { return m_fault; }
-  void SetMaxHeadBytes(std::size_t aMost) { m_maxHeadBytes = aMost; }
+  void SetMaxHeadBytes(std::size_t aBytes) { m_maxHeadBytes = aBytes; }
 
 private:
   static int OnUrl(http_parser* aParser, const char* aData, std::size_t aSize);
@@ -81,7 +83,7 @@
   bool m_ended = false;
   bool m_inValue = false;
   Fault m_fault = Fault::None;
-  std::string m_startText; //!< the target or the reason
+  std::string m_startText; //!< request target or response reason
   HeaderList m_headers;
 };
 
--- a/src/http/serverconnection.cpp
+++ b/src/http/serverconnection.cpp
@@ -15,18 +15,19 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kReadBytes = 16384;
-//! A caller that sends its next requests before it has its answer may run
-//! ahead by this much.
+//! Maximum bytes of pipelined requests that are buffered while an answer is in
+//! progress.
 constexpr std::size_t kMaxReadAhead = 65536;
-//! How long the other end may take to read the last answer.
-constexpr base::Duration kLingerLimit = 1000ms;
-constexpr std::size_t kKeptBuffer = 4096;
+//! How long the peer may take to read the last answer.
+constexpr base::Duration kLingerTimeout = 1000ms;
+//! Empty buffers with a larger capacity are freed.
+constexpr std::size_t kMaxIdleCapacity = 4096;
 
-//! Gives a buffer's memory back once it has grown and is empty.
+//! Frees the memory of an empty buffer that has grown.
 void
-Trim(std::string& aBuffer)
+ReleaseIfLarge(std::string& aBuffer)
 {
-  if (aBuffer.empty() && aBuffer.capacity() > kKeptBuffer) {
+  if (aBuffer.empty() && aBuffer.capacity() > kMaxIdleCapacity) {
     std::string().swap(aBuffer);
   }
 }
@@ -80,32 +81,33 @@
 ServerConnection::StartReading()
 {
   Read();
-  Watch();
+  UpdateWatchedEvents();
 }
 
-//! Its answer is whole and goes out in this round of the loop, the last one.
+//! Whether the last answer is complete and the pending flush will close the
+//! connection. Such a connection need not be registered with the event loop.
 bool
 ServerConnection::ClosesWithFlush() const
 {
-  return m_state == State::Answering && m_flushDue && m_answerEnded &&
+  return m_state == State::Answering && m_flushScheduled && m_answerEnded &&
          m_closeAfter;
 }
 
 void
-ServerConnection::Watch()
+ServerConnection::UpdateWatchedEvents()
 {
-  if (m_state == State::Closed || (!m_isAdded && ClosesWithFlush())) {
+  if (m_state == State::Closed || (!m_isRegistered && ClosesWithFlush())) {
     return;
   }
-  std::uint32_t events = m_in.size() < kMaxReadAhead ? EPOLLIN : 0U;
+  std::uint32_t events = m_inBuffer.size() < kMaxReadAhead ? EPOLLIN : 0U;
   events |= Unsent() > 0 ? EPOLLOUT : 0U;
-  if (!m_isAdded) {
-    m_isAdded = true;
+  if (!m_isRegistered) {
+    m_isRegistered = true;
     m_loop.Add(m_stream.get_handle(), *this, events);
-  } else if (events != m_watched) {
+  } else if (events != m_watchedEvents) {
     m_loop.Modify(m_stream.get_handle(), events);
   }
-  m_watched = events;
+  m_watchedEvents = events;
 }
 
 void
@@ -123,48 +125,49 @@
 ServerConnection::Read()
 {
   std::array<char, kReadBytes> buffer;
-  const auto got = m_stream.recv(buffer.data(), buffer.size());
-  if (got > 0) {
-    TakeBytes({ buffer.data(), static_cast<std::size_t>(got) });
+  const auto received = m_stream.recv(buffer.data(), buffer.size());
+  if (received > 0) {
+    HandleBytes({ buffer.data(), static_cast<std::size_t>(received) });
     return;
   }
-  if (got == -1 && (errno == EWOULDBLOCK || errno == EINTR)) {
+  if (received == -1 && (errno == EWOULDBLOCK || errno == EINTR)) {
     return;
   }
-  LosePeer();
+  HandlePeerGone();
 }
 
 bool
 ServerConnection::HasPeerGone() const
 {
   char byte = 0;
-  const auto got =
+  const auto received =
     recv(m_stream.get_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got == 0 || (got == -1 && errno != EAGAIN && errno != EWOULDBLOCK);
+  return received == 0 ||
+         (received == -1 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 void
-ServerConnection::LosePeer()
+ServerConnection::HandlePeerGone()
 {
-  const bool waited = m_state == State::Answering;
+  const bool wasAnswering = m_state == State::Answering;
   Close();
-  if (waited) {
+  if (wasAnswering) {
     m_events.OnPeerGone(*this);
   }
   m_events.OnClosed(*this);
 }
 
 void
-ServerConnection::TakeBytes(std::string_view aBytes)
+ServerConnection::HandleBytes(std::string_view aBytes)
 {
   if (m_state == State::Lingering) {
     return;
   }
-  m_in.append(aBytes);
+  m_inBuffer.append(aBytes);
   if (m_state == State::Idle || m_state == State::Reading) {
     Parse();
   }
-  Watch();
+  UpdateWatchedEvents();
 }
 
 void
@@ -174,19 +177,19 @@
     return;
   }
   m_parsing = true;
-  while (!m_in.empty() &&
+  while (!m_inBuffer.empty() &&
          (m_state == State::Idle || m_state == State::Reading)) {
     if (m_state == State::Idle) {
       m_state = State::Reading;
       m_since = m_loop.Now();
       m_reader.SetMaxHeadBytes(m_limits.maxHeadBytes);
     }
-    const auto taken = m_reader.Feed(m_in);
-    m_in.erase(0, taken);
+    const auto consumed = m_reader.Feed(m_inBuffer);
+    m_inBuffer.erase(0, consumed);
     if (m_bodyTooLarge) {
-      Refuse(Fault::BodyTooLarge);
+      RejectRequest(Fault::BodyTooLarge);
     } else if (m_reader.GetFault() != Fault::None) {
-      Refuse(m_reader.GetFault());
+      RejectRequest(m_reader.GetFault());
     } else if (m_reader.HasEnded()) {
       m_state = State::Answering;
       m_since = m_loop.Now();
@@ -197,19 +200,19 @@
       m_body = std::string();
     }
   }
-  Trim(m_in);
+  ReleaseIfLarge(m_inBuffer);
   m_parsing = false;
 }
 
 void
-ServerConnection::Refuse(Fault aFault)
+ServerConnection::RejectRequest(Fault aFault)
 {
   m_state = State::Answering;
   m_since = m_loop.Now();
   m_answerBegun = false;
   m_answerEnded = false;
   m_closeAfter = true;
-  m_in.clear();
+  m_inBuffer.clear();
   m_events.OnBadRequest(*this, aFault);
 }
 
@@ -223,17 +226,17 @@
   }
   m_answerBegun = true;
   m_framing = aFraming;
-  m_out += aHead;
+  m_outBuffer += aHead;
   if (aFraming == Framing::Chunked) {
-    AppendField(m_out, "Transfer-Encoding", "chunked");
+    AppendField(m_outBuffer, "Transfer-Encoding", "chunked");
   } else if (aFraming == Framing::Length) {
-    AppendNumberField(m_out, "Content-Length", aLength);
+    AppendNumberField(m_outBuffer, "Content-Length", aLength);
   }
   m_closeAfter = m_closeAfter || !m_keepAlive;
   if (m_closeAfter) {
-    AppendField(m_out, "Connection", "close");
+    AppendField(m_outBuffer, "Connection", "close");
   }
-  m_out += "\r\n";
+  m_outBuffer += "\r\n";
   ScheduleFlush();
 }
 
@@ -244,9 +247,9 @@
     return;
   }
   if (m_framing == Framing::Chunked) {
-    AppendChunk(m_out, aBytes);
+    AppendChunk(m_outBuffer, aBytes);
   } else {
-    m_out += aBytes;
+    m_outBuffer += aBytes;
   }
   ScheduleFlush();
 }
@@ -259,21 +262,21 @@
   }
   m_answerEnded = true;
   if (m_framing == Framing::Chunked) {
-    m_out += kLastChunk;
+    m_outBuffer += kLastChunk;
   }
   ScheduleFlush();
 }
 
-//! What one round of the loop writes goes out in one system call.
+//! Sends all output of one loop iteration in a single system call.
 void
 ServerConnection::ScheduleFlush()
 {
-  if (m_flushDue) {
+  if (m_flushScheduled) {
     return;
   }
-  m_flushDue = true;
+  m_flushScheduled = true;
   m_loop.Defer([this] {
-    m_flushDue = false;
+    m_flushScheduled = false;
     if (m_state != State::Closed) {
       Flush();
     }
@@ -285,28 +288,28 @@
 {
   const bool hadBytes = Unsent() > 0;
   while (Unsent() > 0) {
-    const auto put = m_stream.send(m_out.data() + m_sent, Unsent());
-    if (put > 0) {
-      m_sent += static_cast<std::size_t>(put);
+    const auto sent = m_stream.send(m_outBuffer.data() + m_sentBytes, Unsent());
+    if (sent > 0) {
+      m_sentBytes += static_cast<std::size_t>(sent);
       continue;
     }
     if (errno == EWOULDBLOCK || errno == EINTR) {
       break;
     }
-    LosePeer();
+    HandlePeerGone();
     return;
   }
   if (Unsent() == 0) {
-    m_out.clear();
-    m_sent = 0;
-    Trim(m_out);
+    m_outBuffer.clear();
+    m_sentBytes = 0;
+    ReleaseIfLarge(m_outBuffer);
     if (m_state == State::Answering && m_answerEnded) {
       FinishAnswer();
     } else if (hadBytes) {
       m_events.OnDrained(*this);
     }
   }
-  Watch();
+  UpdateWatchedEvents();
 }
 
 void
@@ -325,7 +328,7 @@
 void
 ServerConnection::EndConnection()
 {
-  const bool allRead = m_reader.HasEnded() && m_in.empty();
+  const bool allRead = m_reader.HasEnded() && m_inBuffer.empty();
   if (!allRead) {
     Linger();
     return;
@@ -334,15 +337,15 @@
   m_events.OnClosed(*this);
 }
 
-//! NOTE closing with bytes unread resets the connection, and the other end
-//! may lose the answer that it has not read yet.
+//! Closes only the sending side. Closing a socket with unread input resets the
+//! connection, and the peer may lose the answer that it has not read yet.
 void
 ServerConnection::Linger()
 {
   m_stream.close_writer();
   m_state = State::Lingering;
   m_since = m_loop.Now();
-  m_in.clear();
+  m_inBuffer.clear();
 }
 
 void
@@ -362,9 +365,9 @@
   if (m_state == State::Closed) {
     return;
   }
-  //! NOTE what was passed on before the break goes out first.
+  // Sends what was written before the abort.
   if (Unsent() > 0) {
-    m_stream.send(m_out.data() + m_sent, Unsent());
+    m_stream.send(m_outBuffer.data() + m_sentBytes, Unsent());
   }
   Close();
   m_events.OnClosed(*this);
@@ -380,7 +383,7 @@
 }
 
 base::Duration
-ServerConnection::ReadLimit() const
+ServerConnection::ReadTimeout() const
 {
   return m_reader.HasHead() ? m_limits.idleTimeout : m_limits.headTimeout;
 }
@@ -391,11 +394,11 @@
   const auto age = aNow - m_since;
   if (m_state == State::Idle && age > m_limits.idleTimeout) {
     CloseIfIdle();
-  } else if (m_state == State::Lingering && age > kLingerLimit) {
+  } else if (m_state == State::Lingering && age > kLingerTimeout) {
     Close();
     m_events.OnClosed(*this);
-  } else if (m_state == State::Reading && age > ReadLimit()) {
-    Refuse(Fault::Timeout);
+  } else if (m_state == State::Reading && age > ReadTimeout()) {
+    RejectRequest(Fault::Timeout);
   }
 }
 
--- a/src/http/serverconnection.h
+++ b/src/http/serverconnection.h
@@ -20,29 +20,29 @@
 
 class ServerConnection;
 
-//! Told what happens on a ServerConnection.
+//! Receives the events of a ServerConnection.
 class IServerEvents
 {
 public:
   virtual ~IServerEvents() = default;
 
-  //! A whole request was read; it is answered now or later.
+  //! A complete request was read. It may be answered at once or later.
   virtual void OnRequest(ServerConnection& aConnection,
                          RequestHead&& aHead,
                          std::string&& aBody) = 0;
-  //! The bytes are no request that is taken. It is answered at once, and
-  //! the connection closes after the answer.
+  //! A request was rejected. The receiver must answer at once; the connection
+  //! closes after that answer.
   virtual void OnBadRequest(ServerConnection& aConnection, Fault aFault) = 0;
-  //! The other end went before its answer had ended.
+  //! The peer disconnected before its answer was complete.
   virtual void OnPeerGone(ServerConnection& aConnection) = 0;
-  //! What waited to be sent has gone out.
+  //! All buffered output was sent while the answer is still in progress.
   virtual void OnDrained(ServerConnection& aConnection) = 0;
-  //! The last call for this connection; it may be deleted after this round
-  //! of the loop.
+  //! The last event of this connection. It may be deleted after the current
+  //! loop iteration.
   virtual void OnClosed(ServerConnection& aConnection) = 0;
 };
 
-//! The server's end of one HTTP/1.1 connection: one request at a time.
+//! The server side of one HTTP/1.1 connection. Handles one request at a time.
 class ServerConnection : public eventloop::IIoHandler
 {
 public:
@@ -50,51 +50,52 @@
                    const ACE_SOCK_Stream& aStream,
                    const base::CallerLimits& aLimits,
                    IServerEvents& aEvents);
-  //! To be called once: reads when something comes.
-  void Start() { Watch(); }
-  //! Instead: reads now what has come already. Saves a busy loop a call for
-  //! each connection that ends with its first answer.
+  //! Starts reading when data arrives. Call this or StartReading once.
+  void Start() { UpdateWatchedEvents(); }
+  //! Reads at once what has already arrived. Under load this saves one system
+  //! call for each connection that closes after its first answer.
   void StartReading();
   ~ServerConnection() override;
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
-  //! aHead: status line and fields without the blank line. The fields of
-  //! the framing and of the connection are added here.
+  //! aHead: status line and header fields without the blank line. The framing
+  //! fields and the Connection field are added here.
   void BeginAnswer(const std::string& aHead,
                    Framing aFraming,
                    std::uint64_t aLength = 0);
   void Write(std::string_view aBytes);
   void EndAnswer();
-  //! The answer can't be made whole: closes so that this shows.
+  //! Closes the connection without completing the answer, so that the peer
+  //! sees that it is truncated.
   void Abort();
-  //! The answer in progress, or the next one, is the last.
+  //! Closes the connection after the current or else the next answer.
   void CloseAfterAnswer() { m_closeAfter = true; }
   //! Closes now if no request is being read or answered.
   void CloseIfIdle();
 
-  //! Whether the other end has gone already although its request was read
-  //! only now: a loop that lags behind reads what no one waits for.
+  //! Whether the peer has already disconnected. A loop that lags behind may
+  //! read a request whose caller has given up.
   bool HasPeerGone() const;
   bool IsIdle() const { return m_state == State::Idle; }
-  //! When it became idle, or its request began, or its answer.
+  //! When the current state (idle, reading or answering) began.
   base::TimePoint Since() const { return m_since; }
-  std::size_t Unsent() const { return m_out.size() - m_sent; }
-  //! Looks at the time limits; to be called a few times a second.
+  std::size_t Unsent() const { return m_outBuffer.size() - m_sentBytes; }
+  //! Enforces the timeouts. Must be called a few times a second.
   void Sweep(base::TimePoint aNow);
 
   void OnIo(std::uint32_t aEvents) override;
 
-  //! For the owner: what this connection belongs to.
+  //! Not used here: the owner may store its own object.
   void* context = nullptr;
 
 private:
   enum class State : std::uint8_t
   {
     Idle,    //!< between requests
-    Reading, //!< part of a request is here
+    Reading, //!< part of a request was read
     Answering,
-    Lingering, //!< all is sent; the other end's bytes are thrown away
+    Lingering, //!< all is sent; incoming bytes are discarded
     Closed
   };
 
@@ -114,18 +115,18 @@
   };
 
   void Read();
-  void TakeBytes(std::string_view aBytes);
+  void HandleBytes(std::string_view aBytes);
   void Parse();
-  void Refuse(Fault aFault);
+  void RejectRequest(Fault aFault);
   void ScheduleFlush();
   void Flush();
   void FinishAnswer();
   void EndConnection();
-  base::Duration ReadLimit() const;
+  base::Duration ReadTimeout() const;
   void Linger();
   void Close();
-  void LosePeer();
-  void Watch();
+  void HandlePeerGone();
+  void UpdateWatchedEvents();
   bool ClosesWithFlush() const;
 
   eventloop::EventLoop& m_loop;
@@ -135,21 +136,21 @@
   Sink m_sink{ *this };
   MessageReader m_reader{ MessageReader::Side::Requests, m_sink };
   State m_state = State::Idle;
-  base::TimePoint m_since{}; //!< when the state began
+  base::TimePoint m_since{}; //!< when m_state began
   RequestHead m_head;
   std::string m_body;
-  std::string m_in; //!< read and not yet parsed
-  std::string m_out;
-  std::size_t m_sent = 0;
+  std::string m_inBuffer; //!< received but not yet parsed
+  std::string m_outBuffer;
+  std::size_t m_sentBytes = 0;
   Framing m_framing = Framing::None;
-  std::uint32_t m_watched = 0;
-  bool m_isAdded = false; //!< to the loop
+  std::uint32_t m_watchedEvents = 0;
+  bool m_isRegistered = false; //!< registered with the event loop
   bool m_bodyTooLarge = false;
   bool m_answerBegun = false;
   bool m_answerEnded = false;
   bool m_keepAlive = true;
   bool m_closeAfter = false;
-  bool m_flushDue = false;
+  bool m_flushScheduled = false;
   bool m_parsing = false;
 };
 
--- a/src/http/tests/httptests.cpp
+++ b/src/http/tests/httptests.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-//! Writes down what a reader reads.
+//! Records the messages that a MessageReader reports.
 class Recorder : public IMessageSink
 {
 public:
@@ -52,7 +52,7 @@
 
 }
 
-Test(messagereader, ARequestIsTheSameHoweverItIsCut)
+Test(messagereader, ARequestParsesTheSameForAnySplit)
 {
   for (std::size_t step = 1; step <= kPost.size(); ++step) {
     Recorder recorder;
@@ -67,7 +67,7 @@
   }
 }
 
-Test(messagereader, TheNextRequestIsLeftForLater)
+Test(messagereader, StopsAfterOneRequest)
 {
   Recorder recorder;
   MessageReader reader(MessageReader::Side::Requests, recorder);
@@ -104,7 +104,7 @@
   cr_assert(recorder.response.framing == Framing::UntilClose);
 }
 
-Test(messagereader, AnAnswerCutShortIsNotWhole)
+Test(messagereader, ATruncatedAnswerIsASyntaxFault)
 {
   Recorder recorder;
   MessageReader reader(MessageReader::Side::Responses, recorder);
@@ -145,7 +145,7 @@
   cr_assert(reader.GetFault() == Fault::HeadTooLarge);
 }
 
-Test(messagereader, RandomBytesEndInAFaultOrWait)
+Test(messagereader, RandomBytesDoNotCrash)
 {
   rc::check([](const std::string& aBytes, bool aRequests) {
     Recorder recorder;
@@ -157,7 +157,7 @@
   });
 }
 
-Test(httptypes, ListsHoldWords)
+Test(httptypes, FindsWordsInLists)
 {
   cr_assert(ListHolds("close, Upgrade", "upgrade"));
   cr_assert(ListHolds(" a ,b", "A"));
@@ -174,7 +174,7 @@
   cr_assert(out.starts_with("1a\r\n"));
 }
 
-// ---- connections, over loopback
+// ---- connections over loopback
 
 namespace {
 
@@ -188,7 +188,7 @@
                [this](const ACE_SOCK_Stream& aStream) {
                  connections.push_back(std::make_unique<ServerConnection>(
                    m_loop, aStream, limits, *this));
-                 if (readsNow) {
+                 if (readsOnAccept) {
                    connections.back()->StartReading();
                  } else {
                    connections.back()->Start();
@@ -205,7 +205,7 @@
     if (aHead.target == "/wait") {
       return;
     }
-    if (closesAfter) {
+    if (closesAfterAnswer) {
       aConnection.CloseAfterAnswer();
     }
     std::string head;
@@ -230,8 +230,8 @@
   void OnDrained(ServerConnection&) override {}
   void OnClosed(ServerConnection&) override { closed++; }
 
-  bool readsNow = false;
-  bool closesAfter = false;
+  bool readsOnAccept = false;
+  bool closesAfterAnswer = false;
   base::CallerLimits limits;
   std::vector<std::unique_ptr<ServerConnection>> connections;
   std::vector<std::string> targets;
@@ -252,8 +252,9 @@
   HeadVerdict OnAnswerHead(ClientConnection&, ResponseHead&& aHead) override
   {
     statuses.push_back(aHead.status);
-    return static_cast<int>(statuses.size()) <= toSkip ? HeadVerdict::Skip
-                                                       : HeadVerdict::Take;
+    return static_cast<int>(statuses.size()) <= answersToSkip
+             ? HeadVerdict::Skip
+             : HeadVerdict::Take;
   }
   void OnAnswerBody(ClientConnection& aConnection,
                     std::string_view aBytes) override
@@ -274,7 +275,7 @@
   }
   void OnIdleClosed(ClientConnection&) override { idleClosed++; }
 
-  int toSkip = 0;
+  int answersToSkip = 0;
   bool pauseInBody = false;
   std::vector<int> statuses;
   std::vector<ClientFailure> failures;
@@ -288,7 +289,7 @@
 void
 RunUntil(eventloop::EventLoop& aLoop, Condition aCondition)
 {
-  // The period only wakes the loop; the condition ends it.
+  // Fails if the condition is not met within the time limit.
   const auto limit = aLoop.Now() + std::chrono::seconds(20);
   while (!aCondition() && aLoop.Now() < limit) {
     aLoop.RunOnce();
@@ -313,7 +314,7 @@
   cr_assert(server.connections.size() == 1);
 }
 
-Test(connections, APipelinedRequestIsAnsweredInItsTurn)
+Test(connections, APipelinedRequestIsReadAfterTheAnswer)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21002);
@@ -324,8 +325,9 @@
   cr_assert(server.targets[1] == "/second");
 }
 
-//! A caller that is closed unread comes back at once; one that waits does not.
-Test(connections, WhoConnectsWhileThereIsNoRoomIsServedLater)
+//! A connection closed without an answer is retried at once by its caller; one
+//! that waits in the listen backlog is not.
+Test(connections, ConnectionsWaitWhileTheListenerIsPaused)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 20901);
@@ -341,27 +343,27 @@
   RunUntil(loop, [&] { return caller.ends == 1; });
 }
 
-//! A busy loop reads a request with its connection; what is not there yet, or
-//! goes on after the first answer, is read later.
-Test(connections, WhatIsReadWithItsConnectionIsAnsweredWhole)
+//! StartReading reads a request right after accepting its connection. A request
+//! that arrives later, or after the first answer, must be read as well.
+Test(connections, StartReadingAnswersEarlyAndLateRequests)
 {
   for (const bool closes : { false, true }) {
-    for (const bool isThere : { false, true }) {
+    for (const bool hasArrived : { false, true }) {
       eventloop::EventLoop loop;
       EchoServer server(loop, 20902);
-      server.readsNow = true;
-      server.closesAfter = closes;
+      server.readsOnAccept = true;
+      server.closesAfterAnswer = closes;
       server.listener.Pause(true);
       Caller caller;
       ClientConnection client(loop, { "127.0.0.1", 20902 }, caller);
-      if (isThere) {
+      if (hasArrived) {
         client.Send(kPost);
       }
       const auto sent = loop.Now() + std::chrono::milliseconds(50);
       RunUntil(loop, [&] { return loop.Now() > sent; });
       server.listener.Pause(false);
       RunUntil(loop, [&] { return !server.connections.empty(); });
-      if (!isThere) {
+      if (!hasArrived) {
         client.Send(kPost);
       }
       RunUntil(loop, [&] { return caller.ends == 1; });
@@ -375,8 +377,9 @@
   }
 }
 
-//! A slow reader behind may ask for a pause just as the answer ends.
-Test(connections, APauseEndsWithItsAnswer)
+//! A slow consumer may pause reading just as the response ends; the connection
+//! must still carry the next request.
+Test(connections, AReadPauseEndsWithTheAnswer)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21009);
@@ -390,7 +393,7 @@
   RunUntil(loop, [&] { return caller.ends == 2; });
 }
 
-Test(connections, AnAnswerThatIsBrokenOffDoesNotLookWhole)
+Test(connections, AnAbortedAnswerIsReportedAsBroken)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21003);
@@ -413,7 +416,7 @@
   cr_assert(!client.HasSentBytes());
 }
 
-Test(connections, ACallerThatGoesIsNoticedWhileItWaits)
+Test(connections, ADisconnectIsNoticedWhileAnswering)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21005);
@@ -426,7 +429,7 @@
   cr_assert(server.closed == 1);
 }
 
-Test(connections, AHeadThatNeverEndsIsRefusedInTime)
+Test(connections, AnIncompleteHeadIsRefusedAfterTheTimeout)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21006);
@@ -444,7 +447,7 @@
   cr_assert(server.faults.at(0) == Fault::Timeout);
 }
 
-Test(connections, ABodyOverTheLimitIsRefusedBeforeItIsIn)
+Test(connections, ABodyOverTheLimitIsRefusedBeforeItIsRead)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21007);
@@ -458,12 +461,12 @@
   cr_assert(!caller.reusable);
 }
 
-Test(connections, AnAnswerThatIsSkippedLetsTheNextOneBeOurs)
+Test(connections, TheAnswerAfterASkippedOneIsTaken)
 {
   eventloop::EventLoop loop;
   EchoServer server(loop, 21008);
   Caller caller;
-  caller.toSkip = 1;
+  caller.answersToSkip = 1;
   ClientConnection client(loop, { "127.0.0.1", 21008 }, caller);
   client.Send(kPost + kPost);
   RunUntil(loop, [&] { return caller.ends == 1; });
