--- a/src/http/clientconnection.cpp
+++ b/src/http/clientconnection.cpp
@@ -33,9 +33,9 @@
   }
   owner.m_answerKeepAlive =
     aHead.keepAlive && aHead.framing != Framing::UntilClose;
-  const auto verdict = owner.m_events->OnAnswerHead(owner, std::move(aHead));
-  owner.m_isSkipping = verdict == IClientEvents::HeadVerdict::Skip;
-  owner.m_isRejected = verdict == IClientEvents::HeadVerdict::Drop;
+  const auto action = owner.m_events->OnAnswerHead(owner, std::move(aHead));
+  owner.m_isSkipping = action == IClientEvents::HeadVerdict::Skip;
+  owner.m_isRejected = action == IClientEvents::HeadVerdict::Drop;
   if (owner.m_isSkipping) {
     owner.m_skippedAnswers++;
   }
--- a/src/http/httptypes.cpp
+++ b/src/http/httptypes.cpp
@@ -35,18 +35,18 @@
 }
 
 bool
-SameName(std::string_view aFirst, std::string_view aSecond)
+EqualsIgnoreCase(std::string_view aFirst, std::string_view aSecond)
 {
   return aFirst.size() == aSecond.size() &&
          strncasecmp(aFirst.data(), aSecond.data(), aFirst.size()) == 0;
 }
 
 bool
-ListHolds(std::string_view aList, std::string_view aWord)
+ListContains(std::string_view aList, std::string_view aWord)
 {
   while (!aList.empty()) {
     const auto comma = aList.find(',');
-    if (SameName(Trim(aList.substr(0, comma)), aWord)) {
+    if (EqualsIgnoreCase(Trim(aList.substr(0, comma)), aWord)) {
       return true;
     }
     if (comma == std::string_view::npos) {
@@ -61,7 +61,7 @@
 HeaderList::Find(std::string_view aName) const
 {
   for (const auto& field : fields) {
-    if (SameName(field.name, aName)) {
+    if (EqualsIgnoreCase(field.name, aName)) {
       return &field.value;
     }
   }
@@ -69,11 +69,11 @@
 }
 
 std::size_t
-HeaderList::CountOf(std::string_view aName) const
+HeaderList::CountFields(std::string_view aName) const
 {
   std::size_t count = 0;
   for (const auto& field : fields) {
-    count += SameName(field.name, aName) ? 1 : 0;
+    count += EqualsIgnoreCase(field.name, aName) ? 1 : 0;
   }
   return count;
 }
--- a/src/http/httptypes.h
+++ b/src/http/httptypes.h
@@ -23,16 +23,16 @@
 
   //! The value of the first field with this name; null if there is none.
   const std::string* Find(std::string_view aName) const;
-  std::size_t CountOf(std::string_view aName) const;
+  std::size_t CountFields(std::string_view aName) const;
 };
 
-//! Whether two field names are equal, ignoring case.
+//! Whether two texts, such as field names, are equal ignoring case.
 bool
-SameName(std::string_view aFirst, std::string_view aSecond);
+EqualsIgnoreCase(std::string_view aFirst, std::string_view aSecond);
 
 //! Whether the comma-separated list contains the word, ignoring case.
 bool
-ListHolds(std::string_view aList, std::string_view aWord);
+ListContains(std::string_view aList, std::string_view aWord);
 
 //! How the end of a message body is determined (RFC 9112).
 enum class Framing : std::uint8_t
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -22,13 +22,13 @@
 Listener::Listener(eventloop::EventLoop& aLoop,
                    const base::Address& aAddress,
                    OnConnection aOnConnection,
-                   std::size_t aQueue)
+                   std::size_t aBacklog)
   : m_loop(aLoop)
   , m_onConnection(std::move(aOnConnection))
 {
   const ACE_INET_Addr address(aAddress.port, aAddress.ip.c_str());
-  const auto queue = static_cast<int>(aQueue);
-  if (m_acceptor.open(address, 1, PF_INET, queue) == -1) {
+  const auto backlog = static_cast<int>(aBacklog);
+  if (m_acceptor.open(address, 1, PF_INET, backlog) == -1) {
     throw base::Error(base::ErrorCode::Unreachable,
                       aAddress.Text() + ": cannot listen on this address");
   }
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -20,17 +20,17 @@
 class Listener : public eventloop::IIoHandler
 {
 public:
-  static constexpr std::size_t kQueue = 1024;
+  static constexpr std::size_t kDefaultBacklog = 1024;
 
   using OnConnection = std::function<void(const ACE_SOCK_Stream& aStream)>;
 
-  //! aQueue: the listen backlog. Connections beyond it are dropped, and the
-  //! callers' kernels retry. Throws Error(Unreachable) if the address cannot
-  //! be bound.
+  //! aBacklog: the listen backlog. Connections beyond it are dropped, and the
+  //! callers' kernels retry. Throws Error(Unreachable) if listening
+  //! on the address fails.
   Listener(eventloop::EventLoop& aLoop,
            const base::Address& aAddress,
            OnConnection aOnConnection,
-           std::size_t aQueue = kQueue);
+           std::size_t aBacklog = kDefaultBacklog);
   ~Listener() override;
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
--- a/src/http/tests/httptests.cpp
+++ b/src/http/tests/httptests.cpp
@@ -159,10 +159,10 @@
 
 Test(httptypes, FindsWordsInLists)
 {
-  cr_assert(ListHolds("close, Upgrade", "upgrade"));
-  cr_assert(ListHolds(" a ,b", "A"));
-  cr_assert(!ListHolds("closed", "close"));
-  cr_assert(!ListHolds("", "close"));
+  cr_assert(ListContains("close, Upgrade", "upgrade"));
+  cr_assert(ListContains(" a ,b", "A"));
+  cr_assert(!ListContains("closed", "close"));
+  cr_assert(!ListContains("", "close"));
 }
 
 Test(httptypes, AnEmptyChunkIsNotWritten)
