--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -25,8 +25,8 @@
   using OnConnection = std::function<void(const ACE_SOCK_Stream& aStream)>;
 
   //! aBacklog: the listen backlog. Connections beyond it are dropped, and the
-  //! callers' kernels retry. Throws Error(Unreachable) if listening
-  //! on the address fails.
+  //! callers' kernels retry. Throws Error(Unreachable) if listening on
+  //! the address fails.
   Listener(eventloop::EventLoop& aLoop,
            const base::Address& aAddress,
            OnConnection aOnConnection,
