--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -31,9 +31,9 @@
   const auto portText = aText.substr(colon + 1);
   const auto* end = portText.data() + portText.size();
   const auto parsed = std::from_chars(portText.data(), end, address.port);
-  in_addr ignored{};
-  const bool goodIp = inet_pton(AF_INET, address.ip.c_str(), &ignored) == 1;
-  if (!goodIp || parsed.ec != std::errc() || parsed.ptr != end ||
+  in_addr parsedIp{};
+  const bool validIp = inet_pton(AF_INET, address.ip.c_str(), &parsedIp) == 1;
+  if (!validIp || parsed.ec != std::errc() || parsed.ptr != end ||
       address.port == 0) {
     ThrowBadAddress(aText);
   }
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -6,7 +6,7 @@
 
 namespace hemlockgauge::base {
 
-//! An IP number and a port.
+//! An IPv4 address and a TCP port.
 struct Address
 {
   std::string ip;
@@ -16,7 +16,8 @@
   bool operator==(const Address&) const = default;
 };
 
-//! Reads "127.0.0.1:80"; throws Error(BadValue) on anything else.
+//! Parses an IPv4 address with a port, such as "127.0.0.1:80". Throws
+//! Error(BadValue) on any other text and on port 0.
 Address
 ParseAddress(std::string_view aText);
 
--- a/src/base/basetypes.h
+++ b/src/base/basetypes.h
@@ -8,11 +8,12 @@
 
 using Duration = std::chrono::milliseconds;
 
-//! Milliseconds since an arbitrary start; monotonic on each host.
+//! Milliseconds since an arbitrary epoch; monotonic on each host and not
+//! comparable between hosts.
 using TimePoint = std::chrono::milliseconds;
 
-//! Identities on the wire are 32-bit hashes of names; the parser and the
-//! host list refuse a second name with the same hash.
+//! Ids on the wire are 32-bit hashes of names. The document parser and the
+//! host list reject a second name with the same hash.
 enum class RouterId : std::uint32_t
 {
 };
@@ -28,7 +29,7 @@
 enum class WorkspaceId : std::uint32_t
 {
 };
-//! Unique within one run of one router.
+//! Unique within one run of one router process.
 enum class RequestId : std::uint64_t
 {
 };
--- a/src/base/boundedsink.cpp
+++ b/src/base/boundedsink.cpp
@@ -13,20 +13,21 @@
 namespace hemlockgauge::base {
 
 BoundedSink::BoundedSink(int aDescriptor,
-                         std::size_t aMostBytes,
-                         double aMostPerSecond)
+                         std::size_t aMaxPendingBytes,
+                         double aMaxLinesPerSecond)
   : m_descriptor(aDescriptor)
-  , m_mostBytes(aMostBytes)
-  , m_lines(aMostPerSecond)
+  , m_maxPendingBytes(aMaxPendingBytes)
+  , m_lineBudget(aMaxLinesPerSecond)
 {
 }
 
 void
 BoundedSink::sink_it_(const spdlog::details::log_msg& aMessage)
 {
-  if (m_pending.size() > m_mostBytes || !m_lines.Take(MonotonicNow())) {
+  if (m_pending.size() > m_maxPendingBytes ||
+      !m_lineBudget.Take(MonotonicNow())) {
     m_dropped++;
-    m_droppedUnsaid++;
+    m_unreportedDrops++;
     return;
   }
   spdlog::memory_buf_t line;
@@ -35,26 +36,26 @@
 }
 
 void
-BoundedSink::Write(int aWaitMs)
+BoundedSink::Write(int aTimeoutMs)
 {
   const std::lock_guard lock(mutex_);
-  if (m_droppedUnsaid > 0 && m_pending.size() <= m_mostBytes) {
+  if (m_unreportedDrops > 0 && m_pending.size() <= m_maxPendingBytes) {
     m_pending += fmt::format("level=warning event=log-lines-dropped count={}\n",
-                             m_droppedUnsaid);
-    m_droppedUnsaid = 0;
+                             m_unreportedDrops);
+    m_unreportedDrops = 0;
   }
   while (!m_pending.empty()) {
     pollfd ready{ m_descriptor, POLLOUT, 0 };
-    if (poll(&ready, 1, aWaitMs) <= 0 || (ready.revents & POLLOUT) == 0) {
+    if (poll(&ready, 1, aTimeoutMs) <= 0 || (ready.revents & POLLOUT) == 0) {
       return;
     }
-    //! NOTE a pipe that is ready takes this much without blocking.
+    // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
     const auto size = std::min<std::size_t>(m_pending.size(), PIPE_BUF);
-    const auto put = write(m_descriptor, m_pending.data(), size);
-    if (put <= 0) {
+    const auto written = write(m_descriptor, m_pending.data(), size);
+    if (written <= 0) {
       return;
     }
-    m_pending.erase(0, static_cast<std::size_t>(put));
+    m_pending.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/src/base/boundedsink.h
+++ b/src/base/boundedsink.h
@@ -10,19 +10,23 @@
 
 namespace hemlockgauge::base {
 
-//! Keeps log lines until Flush writes them to a descriptor, as many as it
-//! takes without blocking. What does not fit, or is too much for a second, is
-//! dropped, counted, and said so in a line of its own: a reader that stops
-//! reading must not stop a router.
+//! Buffers log lines until Write passes them to a file descriptor without
+//! blocking. Lines beyond the buffer size or the rate limit are dropped and
+//! counted, and a separate log line reports the count. This way a log reader
+//! that stops reading can't block a router.
 class BoundedSink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
-  //! aMostBytes: how much is kept for a reader that is slow;
-  //! aMostPerSecond: lines, also for one that keeps up.
-  BoundedSink(int aDescriptor, std::size_t aMostBytes, double aMostPerSecond);
-
-  //! Waits at most aWaitMs for the reader; 0: not at all.
-  void Write(int aWaitMs = 0);
+  //! aMaxPendingBytes limits the buffer for a slow reader;
+  //! aMaxLinesPerSecond limits the rate for every reader.
+  BoundedSink(int aDescriptor,
+              std::size_t aMaxPendingBytes,
+              double aMaxLinesPerSecond);
+
+  //! Writes the buffered lines. Waits up to aTimeoutMs milliseconds each time
+  //! the descriptor is not writable; 0 does not wait.
+  void Write(int aTimeoutMs = 0);
+  //! Number of lines dropped so far.
   std::uint64_t Dropped() const { return m_dropped; }
 
 protected:
@@ -31,11 +35,11 @@
 
 private:
   int m_descriptor;
-  std::size_t m_mostBytes;
-  LogBudget m_lines;
+  std::size_t m_maxPendingBytes;
+  LogBudget m_lineBudget;
   std::string m_pending;
   std::uint64_t m_dropped = 0;
-  std::uint64_t m_droppedUnsaid = 0;
+  std::uint64_t m_unreportedDrops = 0;
 };
 
 }
--- a/src/base/callerlimits.h
+++ b/src/base/callerlimits.h
@@ -6,7 +6,7 @@
 
 namespace hemlockgauge::base {
 
-//! What a caller may send, and how long it may take or stay idle.
+//! Size limits of a caller's request and timeouts of its connection.
 struct CallerLimits
 {
   std::size_t maxHeadBytes = 16384;
--- a/src/base/enumnames.h
+++ b/src/base/enumnames.h
@@ -7,7 +7,8 @@
 
 namespace hemlockgauge::base {
 
-//! A table of the names of an enum class whose values count up from 0.
+//! Maps the values of an enum class to names and back. The values must be
+//! consecutive and start at 0.
 template<typename Enum, std::size_t Count>
 class EnumNames
 {
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -16,7 +16,7 @@
   BadValue,
   BadFrame,
   Unreachable,
-  Refused, //!< nothing listens there
+  Refused, //!< connection refused: nothing listens at the address
   Internal
 };
 
@@ -31,7 +31,8 @@
                            "refused",
                            "internal");
 
-//! The exception of every module: a typed code and a text for people.
+//! Exception thrown by all modules: an error code for the program and a
+//! message for people.
 class Error : public std::runtime_error
 {
 public:
--- a/src/base/logbudget.h
+++ b/src/base/logbudget.h
@@ -7,8 +7,8 @@
 
 namespace hemlockgauge::base {
 
-//! How many things a second may be logged: lines, or requests with all of
-//! their lines, so that what is there can be followed.
+//! Token bucket that limits what is logged per second: single lines, or whole
+//! requests, so that a logged request keeps all of its lines.
 class LogBudget
 {
 public:
@@ -18,32 +18,34 @@
   {
   }
 
+  //! Takes one token; false if none is left and the item must not be logged.
   bool Take(TimePoint aNow)
   {
-    const auto past = static_cast<double>((aNow - m_at).count());
-    m_at = aNow;
-    m_tokens = std::min(m_perSecond, m_tokens + past * m_perSecond / 1000.0);
+    const auto elapsedMs = static_cast<double>((aNow - m_refilledAt).count());
+    m_refilledAt = aNow;
+    m_tokens =
+      std::min(m_perSecond, m_tokens + elapsedMs * m_perSecond / 1000.0);
     if (m_tokens < 1.0) {
-      m_left++;
+      m_refused++;
       return false;
     }
     m_tokens -= 1.0;
     return true;
   }
 
-  //! How many were left out since the last call.
+  //! Returns the number of items refused since the last call and resets it.
   std::uint64_t TakeLeftOut()
   {
-    const auto left = m_left;
-    m_left = 0;
-    return left;
+    const auto refused = m_refused;
+    m_refused = 0;
+    return refused;
   }
 
 private:
   double m_perSecond;
   double m_tokens;
-  TimePoint m_at{};
-  std::uint64_t m_left = 0;
+  TimePoint m_refilledAt{};
+  std::uint64_t m_refused = 0;
 };
 
 }
--- a/src/base/logline.cpp
+++ b/src/base/logline.cpp
@@ -31,8 +31,8 @@
   }
   m_text += '"';
   for (const char c : aValue) {
-    const bool control = static_cast<unsigned char>(c) < ' ';
-    m_text += control ? ' ' : (c == '"' ? '\'' : c);
+    const bool isControl = static_cast<unsigned char>(c) < ' ';
+    m_text += isControl ? ' ' : (c == '"' ? '\'' : c);
   }
   m_text += '"';
   return *this;
@@ -94,11 +94,11 @@
 
 namespace {
 
-//! Some seconds of a busy router's lines.
-constexpr std::size_t kMostLogBytes = 1U << 20;
-//! Over the lines of all requests that a router logs a second, and of a
-//! restart with some hundred upstreams.
-constexpr double kMostLinesPerSecond = 1000;
+//! Holds a few seconds of a busy router's log lines.
+constexpr std::size_t kMaxPendingLogBytes = 1U << 20;
+//! Above the lines of all requests that a router logs per second, and above
+//! the lines of a restart with a few hundred upstreams.
+constexpr double kMaxLogLinesPerSecond = 1000;
 std::shared_ptr<BoundedSink> logSink;
 
 }
@@ -107,7 +107,7 @@
 SetUpLog(std::string_view aProgram, std::string_view aLevel)
 {
   logSink = std::make_shared<BoundedSink>(
-    STDOUT_FILENO, kMostLogBytes, kMostLinesPerSecond);
+    STDOUT_FILENO, kMaxPendingLogBytes, kMaxLogLinesPerSecond);
   auto logger =
     std::make_shared<spdlog::logger>(std::string(aProgram), logSink);
   logger->set_level(spdlog::level::from_str(std::string(aLevel)));
@@ -116,10 +116,10 @@
 }
 
 void
-FlushLog(int aWaitMs)
+FlushLog(int aTimeoutMs)
 {
   if (logSink) {
-    logSink->Write(aWaitMs);
+    logSink->Write(aTimeoutMs);
   }
 }
 
--- a/src/base/logline.h
+++ b/src/base/logline.h
@@ -6,7 +6,8 @@
 
 namespace hemlockgauge::base {
 
-//! Builds one log line of key=value pairs; values with blanks are quoted.
+//! Builds one log line of key=value pairs. A value that is empty or contains
+//! whitespace, quotes or "=" is quoted.
 class LogLine
 {
 public:
@@ -30,14 +31,14 @@
   std::string m_text;
 };
 
-//! Sends log lines to standard output, each with its time and level. They
-//! are kept until FlushLog writes them.
+//! Directs log lines of at least level aLevel to standard output, each with
+//! its time, level and program. They are buffered until FlushLog.
 void
 SetUpLog(std::string_view aProgram, std::string_view aLevel);
 
-//! Writes what is kept without blocking; to be called many times a second.
-//! At the end of a program aWaitMs lets a slow reader catch up.
+//! Writes the buffered log lines without blocking; call it many times a
+//! second. At program exit a timeout above 0 lets a slow reader catch up.
 void
-FlushLog(int aWaitMs = 0);
+FlushLog(int aTimeoutMs = 0);
 
 }
--- a/src/base/monotonicclock.h
+++ b/src/base/monotonicclock.h
@@ -6,8 +6,8 @@
 
 namespace hemlockgauge::base {
 
-//! The time that deadlines and leases are held against. It goes on while a
-//! process stands still and while its host is suspended, and no one sets it.
+//! Current time for deadlines and leases. CLOCK_BOOTTIME keeps running while
+//! the process is stopped and while its host is suspended, and can't be set.
 inline TimePoint
 MonotonicNow()
 {
--- a/src/base/tests/basetests.cpp
+++ b/src/base/tests/basetests.cpp
@@ -12,7 +12,7 @@
 
 using namespace hemlockgauge::base;
 
-Test(base, AddressNeedsIpNumberAndPort)
+Test(base, AddressRequiresIpAndPort)
 {
   cr_assert(ParseAddress("127.0.0.1:80").port == 80);
   for (const char* bad : { "",
@@ -25,36 +25,36 @@
   }
 }
 
-Test(base, LogLineQuotesAndKeepsOneLine)
+Test(base, LogLineQuotesValuesAndRemovesNewlines)
 {
   const LogLine line =
     LogLine("refuse").Add("why", "a \"b\"\nc").Add("n", 3).Add("x", "y");
   cr_assert(line.Text() == "event=refuse why=\"a 'b' c\" n=3 x=y");
 }
 
-Test(base, VerdictNamesGoBothWays)
+Test(base, VerdictNamesConvertBothWays)
 {
   cr_assert(kVerdictNames.NameOf(Verdict::MayHaveRun) == "may-have-run");
   cr_assert(kVerdictNames.ValueOf("not-run") == Verdict::NotRun);
   cr_assert(!kVerdictNames.ValueOf("perhaps").has_value());
 }
 
-Test(log, AReaderThatStopsReadingStopsNoOne)
+Test(log, StalledReaderDoesNotBlockWriter)
 {
-  int ends[2];
-  cr_assert(pipe(ends) == 0);
-  const auto sink = std::make_shared<BoundedSink>(ends[1], 100000, 1e6);
+  int pipeEnds[2];
+  cr_assert(pipe(pipeEnds) == 0);
+  const auto sink = std::make_shared<BoundedSink>(pipeEnds[1], 100000, 1e6);
   spdlog::logger logger("test", sink);
   for (int i = 0; i < 5000; ++i) {
     logger.info("a line of some forty characters, number {}", i);
-    sink->Write(); // returns at once though the pipe is full
+    sink->Write(); // must return immediately although the pipe is full
   }
   cr_assert(sink->Dropped() > 0);
   std::string read;
   char buffer[65536];
-  fcntl(ends[0], F_SETFL, O_NONBLOCK);
+  fcntl(pipeEnds[0], F_SETFL, O_NONBLOCK);
   for (int i = 0; i < 100; ++i) {
-    const auto got = ::read(ends[0], buffer, sizeof(buffer));
+    const auto got = ::read(pipeEnds[0], buffer, sizeof(buffer));
     if (got > 0) {
       read.append(buffer, static_cast<std::size_t>(got));
     }
@@ -62,26 +62,26 @@
   }
   cr_assert(read.find("number 0\n") != std::string::npos);
   cr_assert(read.find("event=log-lines-dropped count=") != std::string::npos);
-  close(ends[0]);
-  close(ends[1]);
+  close(pipeEnds[0]);
+  close(pipeEnds[1]);
 }
 
-//! A reader that keeps up does not make the volume unbounded.
-Test(log, AFloodOfLinesIsBoundedByTheSecond)
+//! The rate limit applies even if the reader keeps up.
+Test(log, LinesPerSecondAreLimited)
 {
-  int ends[2];
-  cr_assert(pipe(ends) == 0);
-  const auto sink = std::make_shared<BoundedSink>(ends[1], 1U << 20, 100.0);
+  int pipeEnds[2];
+  cr_assert(pipe(pipeEnds) == 0);
+  const auto sink = std::make_shared<BoundedSink>(pipeEnds[1], 1U << 20, 100.0);
   spdlog::logger logger("test", sink);
   for (int i = 0; i < 500; ++i) {
     logger.info("flood");
   }
   cr_assert(sink->Dropped() > 300);
-  close(ends[0]);
-  close(ends[1]);
+  close(pipeEnds[0]);
+  close(pipeEnds[1]);
 }
 
-Test(log, TheBudgetBoundsARateAndCountsTheRest)
+Test(log, BudgetLimitsRateAndCountsRefusals)
 {
   LogBudget budget(10);
   int taken = 0;
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -4,12 +4,12 @@
 
 namespace hemlockgauge::base {
 
-//! Says whether a request may have run at an upstream.
+//! States whether a request ran at an upstream.
 enum class Verdict
 {
-  Ran,       //!< an upstream runs or ran it and this is its answer
-  NotRun,    //!< no upstream has run it, nor will
-  MayHaveRun //!< it was handed to an upstream and the end is unknown
+  Ran,       //!< an upstream runs or ran it; the response is the upstream's
+  NotRun,    //!< no upstream has run it or will run it
+  MayHaveRun //!< it was sent to an upstream; the outcome is unknown
 };
 
 inline constexpr auto kVerdictNames =
--- a/src/document/documentdiff.cpp
+++ b/src/document/documentdiff.cpp
@@ -13,14 +13,14 @@
 {
 public:
   template<typename Value>
-  void Compare(std::string_view aWhat, const Value& aOld, const Value& aNew)
+  void Compare(std::string_view aField, const Value& aOld, const Value& aNew)
   {
     if (aOld != aNew) {
-      m_lines.push_back(fmt::format("{}: {} -> {}", aWhat, aOld, aNew));
+      m_lines.push_back(fmt::format("{}: {} -> {}", aField, aOld, aNew));
     }
   }
 
-  void Say(std::string aLine) { m_lines.push_back(std::move(aLine)); }
+  void Add(std::string aLine) { m_lines.push_back(std::move(aLine)); }
 
   std::vector<std::string> Take() { return std::move(m_lines); }
 
@@ -31,15 +31,16 @@
 double
 TotalShare(const ServiceDocument& aDocument)
 {
-  return std::accumulate(
-    aDocument.workspaces.begin(),
-    aDocument.workspaces.end(),
-    0.0,
-    [](double aSum, const Workspace& aOne) { return aSum + aOne.share; });
+  return std::accumulate(aDocument.workspaces.begin(),
+                         aDocument.workspaces.end(),
+                         0.0,
+                         [](double aSum, const Workspace& aWorkspace) {
+                           return aSum + aWorkspace.share;
+                         });
 }
 
 const Workspace*
-Find(const ServiceDocument& aDocument, const std::string& aName)
+FindWorkspace(const ServiceDocument& aDocument, const std::string& aName)
 {
   for (const auto& workspace : aDocument.workspaces) {
     if (workspace.name == aName) {
@@ -50,7 +51,7 @@
 }
 
 std::string
-Percent(double aShare, double aTotal)
+FormatPercent(double aShare, double aTotal)
 {
   return fmt::format("{:.1f}%", 100.0 * aShare / aTotal);
 }
@@ -59,18 +60,18 @@
 CompareWorkspace(Differences& aOut,
                  const Workspace& aOld,
                  const Workspace& aNew,
-                 const std::string& aOldPart,
-                 const std::string& aNewPart)
+                 const std::string& aOldShare,
+                 const std::string& aNewShare)
 {
   const auto label = "workspace " + aNew.name + " ";
-  aOut.Compare(label + "part of the service", aOldPart, aNewPart);
+  aOut.Compare(label + "part of the service", aOldShare, aNewShare);
   aOut.Compare(label + "max_requests_per_second",
                aOld.maxRequestsPerSecond,
                aNew.maxRequestsPerSecond);
   aOut.Compare(label + "max_queued", aOld.maxQueued, aNew.maxQueued);
   aOut.Compare(label + "max_in_flight", aOld.maxInFlight, aNew.maxInFlight);
   if (aOld.keySha256 != aNew.keySha256) {
-    aOut.Say(fmt::format("{}keys: {} -> {} accepted",
+    aOut.Add(fmt::format("{}keys: {} -> {} accepted",
                          label,
                          aOld.keySha256.size(),
                          aNew.keySha256.size()));
@@ -95,24 +96,28 @@
     "stall_limit_ms", aOld.stallLimit.count(), aNew.stallLimit.count());
   out.Compare("fairness_weight", aOld.fairnessWeight, aNew.fairnessWeight);
   if (aOld.repeatablePaths != aNew.repeatablePaths) {
-    out.Say("the calls that may be repeated change");
+    out.Add("repeatable_path: the list of repeatable calls changes");
   }
   const double oldTotal = TotalShare(aOld);
   const double newTotal = TotalShare(aNew);
   for (const auto& workspace : aNew.workspaces) {
-    const auto newPart = Percent(workspace.share, newTotal);
-    const auto* before = Find(aOld, workspace.name);
-    if (before == nullptr) {
-      out.Say("workspace " + workspace.name + " is new, part " + newPart);
+    const auto newShare = FormatPercent(workspace.share, newTotal);
+    const auto* oldWorkspace = FindWorkspace(aOld, workspace.name);
+    if (oldWorkspace == nullptr) {
+      out.Add("workspace " + workspace.name + " is new, share of the service " +
+              newShare);
       continue;
     }
-    CompareWorkspace(
-      out, *before, workspace, Percent(before->share, oldTotal), newPart);
+    CompareWorkspace(out,
+                     *oldWorkspace,
+                     workspace,
+                     FormatPercent(oldWorkspace->share, oldTotal),
+                     newShare);
   }
   for (const auto& workspace : aOld.workspaces) {
-    if (Find(aNew, workspace.name) == nullptr) {
-      out.Say("workspace " + workspace.name +
-              " goes: its callers will be refused");
+    if (FindWorkspace(aNew, workspace.name) == nullptr) {
+      out.Add("workspace " + workspace.name +
+              " is removed: its callers will be refused");
     }
   }
   return out.Take();
--- a/src/document/documentdiff.h
+++ b/src/document/documentdiff.h
@@ -7,8 +7,8 @@
 
 namespace hemlockgauge::document {
 
-//! The effect of going from aOld to aNew, one sentence an entry; empty when
-//! nothing changes.
+//! Describes the effect of replacing aOld by aNew, one change per entry; empty
+//! if they are equivalent.
 std::vector<std::string>
 DescribeDifference(const ServiceDocument& aOld, const ServiceDocument& aNew);
 
--- a/src/document/documentparser.cpp
+++ b/src/document/documentparser.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view kWorkspacePrefix = "workspace:";
 constexpr std::size_t kSha256HexDigits = 64;
 constexpr std::uint32_t kMaxConcurrency = 4096;
-constexpr std::uint32_t kMaxMillis = 3600000;
+constexpr std::uint32_t kMaxDurationMs = 3600000;
 constexpr std::uint32_t kMaxLimit = 1000000;
 
 bool
@@ -53,7 +53,8 @@
 ReadPath(SectionReader& aReader, std::string_view aKey, std::string aPath)
 {
   if (aPath.empty() || aPath.front() != '/') {
-    aReader.Fail(ErrorCode::BadValue, aKey, "expected a path with a leading /");
+    aReader.Fail(
+      ErrorCode::BadValue, aKey, "expected a path that starts with /");
   }
   return aPath;
 }
@@ -66,7 +67,7 @@
     ReadPath(aReader, "path_prefix", aReader.Text("path_prefix"));
   aDocument.fairnessWeight = aReader.NumberOr("fairness_weight", 0, 100, 50);
   aDocument.deadline =
-    base::Duration(aReader.NumberOr("deadline_ms", 100, kMaxMillis, 30000));
+    base::Duration(aReader.NumberOr("deadline_ms", 100, kMaxDurationMs, 30000));
   for (auto& path : aReader.All("repeatable_path")) {
     aDocument.repeatablePaths.push_back(
       ReadPath(aReader, "repeatable_path", std::move(path)));
@@ -85,8 +86,8 @@
   }
   aDocument.kind = *kind;
   aDocument.concurrency = aReader.Number("concurrency", 1, kMaxConcurrency);
-  aDocument.stallLimit =
-    base::Duration(aReader.NumberOr("stall_limit_ms", 50, kMaxMillis, 2000));
+  aDocument.stallLimit = base::Duration(
+    aReader.NumberOr("stall_limit_ms", 50, kMaxDurationMs, 2000));
   aReader.Finish();
 }
 
@@ -127,7 +128,8 @@
     if (!ids.insert(workspace.id).second) {
       throw Error(ErrorCode::BadValue,
                   aFile + ": [workspace:" + workspace.name +
-                    "]: expected another name, this one's hash is taken");
+                    "]: expected another name, its hash equals that of another "
+                    "workspace");
     }
     for (const auto& key : workspace.keySha256) {
       if (!keys.insert(key).second) {
@@ -145,7 +147,7 @@
 ParseDocument(const std::string& aFile, std::string_view aText)
 {
   if (aText.size() > kMaxDocumentBytes) {
-    throw Error(ErrorCode::BadValue, aFile + ": expected at most a megabyte");
+    throw Error(ErrorCode::BadValue, aFile + ": expected at most 1 MiB");
   }
   const auto sections = ReadIni(aFile, aText);
   ServiceDocument document;
--- a/src/document/documentparser.h
+++ b/src/document/documentparser.h
@@ -7,12 +7,13 @@
 
 namespace hemlockgauge::document {
 
-//! Largest document, the largest value the configuration service holds.
+//! Maximum size of a document: the largest value that the configuration
+//! service can store.
 inline constexpr std::size_t kMaxDocumentBytes = 1 << 20;
 
-//! Reads and validates a service document. The verdict depends on the text
-//! alone, so every router and the command line come to the same one.
-//! Throws Error with file, line, key and what was expected.
+//! Parses and validates a service document. The result depends only on the
+//! text, so every router and the command line tool accept the same documents.
+//! Throws Error with file, line, key and expected value.
 ServiceDocument
 ParseDocument(const std::string& aFile, std::string_view aText);
 
--- a/src/document/documenttypes.h
+++ b/src/document/documenttypes.h
@@ -12,14 +12,14 @@
 
 enum class UpstreamKind
 {
-  ModelEngine, //!< streams tokens, can resume and cancel
-  Plain        //!< one request, one answer
+  ModelEngine, //!< streams tokens; supports resuming and cancelling
+  Plain        //!< one response per request, no stream
 };
 
 inline constexpr auto kUpstreamKindNames =
   base::MakeEnumNames<UpstreamKind>("model-engine", "plain");
 
-//! One workspace of a service: its share, its limits and its keys.
+//! A workspace of a service: its share, limits and key hashes.
 struct Workspace
 {
   std::string name;
@@ -31,7 +31,7 @@
   std::vector<std::string> keySha256;     //!< lower-case hexadecimal
 };
 
-//! A service as its owning team describes it.
+//! Service document: the configuration of a service by its owning team.
 struct ServiceDocument
 {
   std::string name;
@@ -42,7 +42,8 @@
   std::uint32_t concurrency = 8; //!< slots on each upstream of the pool
   base::Duration deadline{ 30000 };
   base::Duration stallLimit{ 2000 };
-  //! 0 to 100: how far the fairness gap goes before utilisation.
+  //! Weight of fairness against utilisation: 0 favours utilisation only, 100
+  //! favours a small fairness gap only.
   std::uint32_t fairnessWeight = 50;
   std::vector<std::string> repeatablePaths;
   std::vector<Workspace> workspaces;
@@ -50,22 +51,22 @@
 
 enum class PolicyKind
 {
-  Entitlement, //!< shares across the fleet, slots by lease
-  EqualPart,   //!< baseline: each router alone with an equal part
-  LeastLoaded  //!< baseline: reported load, local fair queues
+  Entitlement, //!< fleet-wide shares, slots granted by lease
+  EqualPart,   //!< baseline: each router uses an equal part, no coordination
+  LeastLoaded  //!< baseline: least reported load, fair queues per router
 };
 
 inline constexpr auto kPolicyKindNames =
   base::MakeEnumNames<PolicyKind>("entitlement", "equal-part", "least-loaded");
 
-//! What a router learns from its own settings.
+//! Settings of one router, read from its settings file.
 struct RouterSettings
 {
   std::string id;
   std::string zone;
-  base::Address listen;      //!< for callers
-  base::Address peerListen;  //!< for other routers
-  base::Address adminListen; //!< for operators
+  base::Address listen;      //!< for connections of callers
+  base::Address peerListen;  //!< for connections of other routers
+  base::Address adminListen; //!< for operators' status and metrics pages
   base::Address platform;
   std::vector<base::Address> seeds;
   std::uint32_t trafficThreads = 2;
--- a/src/document/inireader.h
+++ b/src/document/inireader.h
@@ -19,8 +19,8 @@
   std::vector<IniEntry> entries;
 };
 
-//! Sections in the order they stand in aText. Throws Error(BadSyntax)
-//! naming aFile and the line.
+//! Parses INI text; returns its sections in order of first appearance. Throws
+//! Error(BadSyntax) with aFile and the line.
 std::vector<IniSection>
 ReadIni(const std::string& aFile, std::string_view aText);
 
--- a/src/document/internal/inireader.cpp
+++ b/src/document/internal/inireader.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-//! NOTE inih as packaged hands its handler no line number, so the lines
-//! are counted where it asks for the next one. It also cuts a line that
-//! does not fit its buffer, so such a line is refused here.
-struct Source
+//! Input and result of one parse. The packaged inih passes no line number to
+//! its handler, so NextLine counts the lines. It also truncates a line that
+//! does not fit its buffer, so NextLine rejects such a line.
+struct ParseState
 {
   std::string_view rest;
   int line = 0;
@@ -25,41 +25,41 @@
 char*
 NextLine(char* aBuffer, int aSize, void* aStream)
 {
-  auto& source = *static_cast<Source*>(aStream);
-  if (source.rest.empty() || source.tooLong) {
+  auto& state = *static_cast<ParseState*>(aStream);
+  if (state.rest.empty() || state.tooLong) {
     return nullptr;
   }
-  const auto end = source.rest.find('\n');
-  const auto line = source.rest.substr(0, end);
-  source.line++;
+  const auto end = state.rest.find('\n');
+  const auto line = state.rest.substr(0, end);
+  state.line++;
   if (line.size() + 2 > static_cast<std::size_t>(aSize)) {
-    source.tooLong = true;
+    state.tooLong = true;
     return nullptr;
   }
   std::memcpy(aBuffer, line.data(), line.size());
   aBuffer[line.size()] = '\n';
   aBuffer[line.size() + 1] = '\0';
-  source.rest.remove_prefix(end == std::string_view::npos ? source.rest.size()
-                                                          : end + 1);
+  state.rest.remove_prefix(end == std::string_view::npos ? state.rest.size()
+                                                         : end + 1);
   return aBuffer;
 }
 
 int
-TakeEntry(void* aUser,
-          const char* aSection,
-          const char* aKey,
-          const char* aValue)
+AddEntry(void* aUser,
+         const char* aSection,
+         const char* aKey,
+         const char* aValue)
 {
-  auto& source = *static_cast<Source*>(aUser);
-  const auto known =
-    std::find_if(source.sections.begin(),
-                 source.sections.end(),
-                 [&](const IniSection& aOne) { return aOne.name == aSection; });
+  auto& state = *static_cast<ParseState*>(aUser);
+  const auto known = std::find_if(
+    state.sections.begin(),
+    state.sections.end(),
+    [&](const IniSection& aCandidate) { return aCandidate.name == aSection; });
   IniSection& section =
-    known != source.sections.end()
+    known != state.sections.end()
       ? *known
-      : source.sections.emplace_back(IniSection{ aSection, {} });
-  section.entries.push_back({ aKey, aValue, source.line });
+      : state.sections.emplace_back(IniSection{ aSection, {} });
+  section.entries.push_back({ aKey, aValue, state.line });
   return 1;
 }
 
@@ -75,19 +75,20 @@
 std::vector<IniSection>
 ReadIni(const std::string& aFile, std::string_view aText)
 {
-  Source source{ aText, 0, false, {} };
+  ParseState state{ aText, 0, false, {} };
   if (aText.find('\0') != std::string_view::npos) {
     ThrowBadLine(aFile, 1, "expected text, got a NUL byte");
   }
-  const int badLine = ini_parse_stream(NextLine, &source, TakeEntry, &source);
-  if (source.tooLong) {
-    ThrowBadLine(aFile, source.line, "line longer than 198 characters");
+  const int badLine = ini_parse_stream(NextLine, &state, AddEntry, &state);
+  if (state.tooLong) {
+    ThrowBadLine(
+      aFile, state.line, "expected at most 198 characters in a line");
   }
   if (badLine != 0) {
     ThrowBadLine(
       aFile, std::max(badLine, 1), "expected [section] or key = value");
   }
-  return std::move(source.sections);
+  return std::move(state.sections);
 }
 
 }
--- a/src/document/internal/sectionreader.cpp
+++ b/src/document/internal/sectionreader.cpp
@@ -33,7 +33,7 @@
 const IniEntry*
 SectionReader::Find(std::string_view aKey)
 {
-  m_taken.emplace(aKey);
+  m_readKeys.emplace(aKey);
   const IniEntry* found = nullptr;
   for (const auto& entry : m_section.entries) {
     if (entry.key != aKey) {
@@ -66,43 +66,43 @@
 
 std::uint32_t
 SectionReader::Number(std::string_view aKey,
-                      std::uint32_t aLow,
-                      std::uint32_t aHigh)
+                      std::uint32_t aMin,
+                      std::uint32_t aMax)
 {
   const auto value = ParseNumber<std::uint32_t>(Text(aKey));
-  if (!value || *value < aLow || *value > aHigh) {
+  if (!value || *value < aMin || *value > aMax) {
     Fail(ErrorCode::BadValue,
          aKey,
-         "expected a whole number from " + std::to_string(aLow) + " to " +
-           std::to_string(aHigh));
+         "expected a whole number from " + std::to_string(aMin) + " to " +
+           std::to_string(aMax));
   }
   return *value;
 }
 
 std::uint32_t
 SectionReader::NumberOr(std::string_view aKey,
-                        std::uint32_t aLow,
-                        std::uint32_t aHigh,
+                        std::uint32_t aMin,
+                        std::uint32_t aMax,
                         std::uint32_t aDefault)
 {
-  return Find(aKey) == nullptr ? aDefault : Number(aKey, aLow, aHigh);
+  return Find(aKey) == nullptr ? aDefault : Number(aKey, aMin, aMax);
 }
 
 double
 SectionReader::RealOr(std::string_view aKey,
-                      double aLow,
-                      double aHigh,
+                      double aMin,
+                      double aMax,
                       double aDefault)
 {
   if (Find(aKey) == nullptr) {
     return aDefault;
   }
   const auto value = ParseNumber<double>(Text(aKey));
-  if (!value || !std::isfinite(*value) || *value < aLow || *value > aHigh) {
+  if (!value || !std::isfinite(*value) || *value < aMin || *value > aMax) {
     Fail(ErrorCode::BadValue,
          aKey,
-         "expected a number from " + std::to_string(aLow) + " to " +
-           std::to_string(aHigh));
+         "expected a number from " + std::to_string(aMin) + " to " +
+           std::to_string(aMax));
   }
   return *value;
 }
@@ -121,7 +121,7 @@
 std::vector<std::string>
 SectionReader::All(std::string_view aKey)
 {
-  m_taken.emplace(aKey);
+  m_readKeys.emplace(aKey);
   std::vector<std::string> values;
   for (const auto& entry : m_section.entries) {
     if (entry.key == aKey) {
@@ -135,7 +135,7 @@
 SectionReader::Finish() const
 {
   for (const auto& entry : m_section.entries) {
-    if (!m_taken.contains(entry.key)) {
+    if (!m_readKeys.contains(entry.key)) {
       Fail(ErrorCode::UnknownKey, entry.key, "expected no such key");
     }
   }
--- a/src/document/sectionreader.h
+++ b/src/document/sectionreader.h
@@ -13,8 +13,8 @@
 
 namespace hemlockgauge::document {
 
-//! Takes typed values out of one section and, at Finish, refuses what no
-//! one asked for. Every error names file, line, key and what was expected.
+//! Reads typed values from one INI section. Finish rejects keys that were not
+//! read. Each error contains file, line, key and expected value.
 class SectionReader
 {
 public:
@@ -23,19 +23,20 @@
   std::string Text(std::string_view aKey);
   std::string TextOr(std::string_view aKey, std::string_view aDefault);
   std::uint32_t Number(std::string_view aKey,
-                       std::uint32_t aLow,
-                       std::uint32_t aHigh);
+                       std::uint32_t aMin,
+                       std::uint32_t aMax);
   std::uint32_t NumberOr(std::string_view aKey,
-                         std::uint32_t aLow,
-                         std::uint32_t aHigh,
+                         std::uint32_t aMin,
+                         std::uint32_t aMax,
                          std::uint32_t aDefault);
   double RealOr(std::string_view aKey,
-                double aLow,
-                double aHigh,
+                double aMin,
+                double aMax,
                 double aDefault);
   base::Address Address(std::string_view aKey);
-  //! Every value of a key that may stand more than once.
+  //! All values of a key that may occur more than once.
   std::vector<std::string> All(std::string_view aKey);
+  //! Throws Error(UnknownKey) if the section has a key that was not read.
   void Finish() const;
 
   [[noreturn]] void Fail(base::ErrorCode aCode,
@@ -47,7 +48,7 @@
 
   std::string m_file;
   const IniSection& m_section;
-  std::set<std::string, std::less<>> m_taken;
+  std::set<std::string, std::less<>> m_readKeys;
 };
 
 }
--- a/src/document/settingsparser.cpp
+++ b/src/document/settingsparser.cpp
@@ -14,7 +14,9 @@
 namespace {
 
 base::Duration
-Millis(SectionReader& aReader, std::string_view aKey, base::Duration aDefault)
+ReadMillis(SectionReader& aReader,
+           std::string_view aKey,
+           base::Duration aDefault)
 {
   return base::Duration(aReader.NumberOr(
     aKey, 0, 3600000, static_cast<uint32_t>(aDefault.count())));
@@ -34,10 +36,11 @@
   aSettings.maxBodyBytes =
     aReader.NumberOr("max_body_bytes", 1024, 64 << 20, 1 << 20);
   aSettings.callerTimeout =
-    Millis(aReader, "caller_timeout_ms", aSettings.callerTimeout);
+    ReadMillis(aReader, "caller_timeout_ms", aSettings.callerTimeout);
   aSettings.drainNotice =
-    Millis(aReader, "drain_notice_ms", aSettings.drainNotice);
-  aSettings.stopLimit = Millis(aReader, "stop_limit_ms", aSettings.stopLimit);
+    ReadMillis(aReader, "drain_notice_ms", aSettings.drainNotice);
+  aSettings.stopLimit =
+    ReadMillis(aReader, "stop_limit_ms", aSettings.stopLimit);
   aSettings.logLevel = aReader.TextOr("log_level", "info");
   const auto policy =
     kPolicyKindNames.ValueOf(aReader.TextOr("policy", "entitlement"));
--- a/src/document/settingsparser.h
+++ b/src/document/settingsparser.h
@@ -7,12 +7,13 @@
 
 namespace hemlockgauge::document {
 
-//! Reads a router's settings; throws Error with file, line, key and what
-//! was expected.
+//! Parses a router's settings. Throws Error with file, line, key and expected
+//! value.
 RouterSettings
 ParseSettings(const std::string& aFile, std::string_view aText);
 
-//! The whole text of a file; throws Error(Unreachable) if it can't be read.
+//! Returns the contents of a file; throws Error(Unreachable) if it can't be
+//! read.
 std::string
 ReadTextFile(const std::string& aFile);
 
--- a/src/eventloop/busymeter.h
+++ b/src/eventloop/busymeter.h
@@ -4,30 +4,31 @@
 
 namespace hemlockgauge::eventloop {
 
-//! For how long a loop has found something to do each time it looked. What
-//! arrives meanwhile waits unseen, in the kernel's queues of new connections
-//! and unread bytes, at most for so long.
+//! Measures for how long every poll of an event loop has found events. This
+//! bounds how long new connections and unread bytes have waited in the
+//! kernel's queues.
 class BusyMeter
 {
 public:
   explicit BusyMeter(base::TimePoint aNow)
-    : m_restedAt(aNow)
+    : m_idleAt(aNow)
     , m_now(aNow)
   {
   }
 
-  //! The loop looked for work at aNow, without waiting.
+  //! Records a poll without waiting at aNow; aFound: it returned events.
   void Looked(bool aFound, base::TimePoint aNow)
   {
     m_now = aNow;
     if (!aFound) {
-      m_restedAt = aNow;
+      m_idleAt = aNow;
     }
   }
-  base::Duration BusyFor() const { return m_now - m_restedAt; }
+  //! Time since the last poll that found nothing, or since the start.
+  base::Duration BusyFor() const { return m_now - m_idleAt; }
 
 private:
-  base::TimePoint m_restedAt;
+  base::TimePoint m_idleAt;
   base::TimePoint m_now;
 };
 
--- a/src/eventloop/eventloop.cpp
+++ b/src/eventloop/eventloop.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr int kEventsPerRound = 128;
-constexpr int kMaxWaitMs = 1000;
+constexpr int kMaxEventsPerPoll = 128;
+constexpr int kMaxPollTimeoutMs = 1000;
 
 ACE_Time_Value
 ToAce(base::TimePoint aTime)
@@ -34,20 +34,21 @@
 }
 
 EventLoop::EventLoop()
-  : m_poll(epoll_create1(EPOLL_CLOEXEC))
+  : m_epoll(epoll_create1(EPOLL_CLOEXEC))
   , m_now(base::MonotonicNow())
 {
-  if (m_poll == -1) {
-    throw Error(ErrorCode::Internal, "no descriptor to poll with");
+  if (m_epoll == -1) {
+    throw Error(ErrorCode::Internal,
+                "epoll_create1 failed: no epoll descriptor");
   }
 }
 
 EventLoop::~EventLoop()
 {
   for (const auto& timer : m_timers) {
-    m_queue.cancel(timer.get());
+    m_timerQueue.cancel(timer.get());
   }
-  close(m_poll);
+  close(m_epoll);
 }
 
 void
@@ -63,9 +64,9 @@
   event.events = aEvents;
   event.data.u64 =
     (std::uint64_t{ registration.generation } << 32) | std::uint64_t{ index };
-  if (epoll_ctl(m_poll, EPOLL_CTL_ADD, aDescriptor, &event) == -1) {
+  if (epoll_ctl(m_epoll, EPOLL_CTL_ADD, aDescriptor, &event) == -1) {
     registration = {};
-    throw Error(ErrorCode::Internal, "a descriptor can't be polled");
+    throw Error(ErrorCode::Internal, "epoll_ctl failed to add a descriptor");
   }
 }
 
@@ -78,7 +79,7 @@
   event.data.u64 =
     (std::uint64_t{ m_registrations.at(index).generation } << 32) |
     std::uint64_t{ index };
-  epoll_ctl(m_poll, EPOLL_CTL_MOD, aDescriptor, &event);
+  epoll_ctl(m_epoll, EPOLL_CTL_MOD, aDescriptor, &event);
 }
 
 void
@@ -94,7 +95,7 @@
 EventLoop::Remove(int aDescriptor)
 {
   RemoveClosing(aDescriptor);
-  epoll_ctl(m_poll, EPOLL_CTL_DEL, aDescriptor, nullptr);
+  epoll_ctl(m_epoll, EPOLL_CTL_DEL, aDescriptor, nullptr);
 }
 
 void
@@ -103,8 +104,9 @@
   auto& timer = m_timers.emplace_back(
     std::make_unique<timer::PeriodicHandler>(std::move(aCallback)));
   const auto first = ToAce(base::MonotonicNow() + aPeriod);
-  if (m_queue.schedule(timer.get(), nullptr, first, ToAce(aPeriod)) == -1) {
-    throw Error(ErrorCode::Internal, "no timer to be had");
+  if (m_timerQueue.schedule(timer.get(), nullptr, first, ToAce(aPeriod)) ==
+      -1) {
+    throw Error(ErrorCode::Internal, "failed to schedule a periodic timer");
   }
 }
 
@@ -123,18 +125,18 @@
 }
 
 int
-EventLoop::WaitMillis() const
+EventLoop::PollTimeoutMs() const
 {
-  if (m_queue.is_empty()) {
-    return kMaxWaitMs;
+  if (m_timerQueue.is_empty()) {
+    return kMaxPollTimeoutMs;
   }
   const auto now = ToAce(base::MonotonicNow());
-  const auto& next = m_queue.earliest_time();
+  const auto& next = m_timerQueue.earliest_time();
   if (next <= now) {
     return 0;
   }
   const auto wait = static_cast<long>((next - now).msec()) + 1;
-  return static_cast<int>(std::min<long>(wait, kMaxWaitMs));
+  return static_cast<int>(std::min<long>(wait, kMaxPollTimeoutMs));
 }
 
 void
@@ -152,16 +154,17 @@
 void
 EventLoop::RunOnce()
 {
-  std::array<epoll_event, kEventsPerRound> events;
-  int got = epoll_wait(m_poll, events.data(), kEventsPerRound, 0);
+  std::array<epoll_event, kMaxEventsPerPoll> events;
+  int eventCount = epoll_wait(m_epoll, events.data(), kMaxEventsPerPoll, 0);
   m_now = base::MonotonicNow();
-  m_busy.Looked(got > 0, m_now);
-  if (got <= 0) {
-    got = epoll_wait(m_poll, events.data(), kEventsPerRound, WaitMillis());
+  m_busy.Looked(eventCount > 0, m_now);
+  if (eventCount <= 0) {
+    eventCount =
+      epoll_wait(m_epoll, events.data(), kMaxEventsPerPoll, PollTimeoutMs());
     m_now = base::MonotonicNow();
   }
-  const auto begun = m_now;
-  for (int i = 0; i < got; ++i) {
+  const auto startedAt = m_now;
+  for (int i = 0; i < eventCount; ++i) {
     const auto data = events[static_cast<std::size_t>(i)].data.u64;
     const auto& registration = m_registrations[data & 0xffffffffU];
     if (registration.handler != nullptr &&
@@ -170,11 +173,11 @@
     }
   }
   const auto now = ToAce(m_now);
-  if (!m_queue.is_empty() && m_queue.earliest_time() <= now) {
-    m_queue.expire(now);
+  if (!m_timerQueue.is_empty() && m_timerQueue.earliest_time() <= now) {
+    m_timerQueue.expire(now);
   }
   RunDeferred();
-  m_lastRound = base::MonotonicNow() - begun;
+  m_lastIterationTime = base::MonotonicNow() - startedAt;
 }
 
 }
--- a/src/eventloop/eventloop.h
+++ b/src/eventloop/eventloop.h
@@ -21,9 +21,9 @@
 
 class IIoHandler;
 
-//! One thread's sockets and timers. Sockets are polled with epoll directly:
-//! ACE's poll reactor takes three system calls for each event, and a router
-//! on a quarter of a core pays for every one. Timers are ACE's.
+//! Event loop of one thread: sockets and timers. Sockets are polled with epoll
+//! directly, because ACE's poll reactor makes three system calls per event,
+//! too many for a router on a quarter of a core. Timers use ACE's timer heap.
 class EventLoop : public timer::ITimerService
 {
 public:
@@ -32,32 +32,34 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  //! Throws Error(Internal) if the descriptor can't be polled.
+  //! Calls aHandler when an event of aEvents (epoll flags) occurs. Throws
+  //! Error(Internal) if epoll rejects the descriptor.
   void Add(int aDescriptor, IIoHandler& aHandler, std::uint32_t aEvents);
   void Modify(int aDescriptor, std::uint32_t aEvents);
-  //! Events of the descriptor that are already fetched are dropped.
+  //! Stops polling the descriptor and drops its events that were fetched but
+  //! not yet handled.
   void Remove(int aDescriptor);
-  //! The same right before the descriptor is closed, which ends its polling
-  //! without a call of its own.
+  //! Like Remove, for a descriptor that is closed right afterwards: closing it
+  //! removes it from epoll and saves a system call.
   void RemoveClosing(int aDescriptor);
 
   void Subscribe(base::Duration aPeriod,
                  std::function<void()> aCallback) override;
-  //! Taken once for each round of the loop.
+  //! The time is read after each poll and stays the same until the next one.
   base::TimePoint Now() const override { return m_now; }
 
-  //! How long the last round took: what is read in this one may have waited
-  //! as long.
-  base::Duration LastRound() const { return m_lastRound; }
+  //! Duration of the previous iteration, without its wait for events. Data
+  //! read in this iteration may have waited that long.
+  base::Duration LastRound() const { return m_lastIterationTime; }
 
-  //! How long it has had something to do without a rest.
+  //! For how long every poll has found events.
   base::Duration BusyFor() const { return m_busy.BusyFor(); }
 
-  //! Runs aTask when the events of this round are done with. Objects that
-  //! a callback is still inside of are deleted this way.
+  //! Runs aTask at the end of this iteration, after its events and timers.
+  //! Use it to delete an object while one of its methods is on the stack.
   void Defer(std::function<void()> aTask);
 
-  //! Deletes an object at the end of this round.
+  //! Deletes an object at the end of this iteration.
   template<typename Object>
   void DeleteLater(std::unique_ptr<Object> aObject)
   {
@@ -65,33 +67,34 @@
     Defer([holder] { holder->reset(); });
   }
 
-  //! Returns when Stop was called.
+  //! Runs iterations until Stop is called.
   void Run();
+  //! Runs one iteration: polls, handles events, timers and deferred tasks.
   void RunOnce();
   void Stop() { m_stopped = true; }
 
 private:
-  //! A descriptor number may be used again within one round; the
-  //! generation tells the old registration's events from the new one's.
+  //! A descriptor number may be reused within one iteration. The generation
+  //! distinguishes events of the old registration from those of the new one.
   struct Registration
   {
     IIoHandler* handler = nullptr;
     std::uint32_t generation = 0;
   };
 
-  int WaitMillis() const;
+  int PollTimeoutMs() const;
   void RunDeferred();
 
-  int m_poll;
+  int m_epoll;
   base::TimePoint m_now{};
-  base::Duration m_lastRound{};
+  base::Duration m_lastIterationTime{};
   BusyMeter m_busy{ m_now };
   bool m_stopped = false;
   std::uint32_t m_nextGeneration = 1;
   std::vector<Registration> m_registrations;
   std::vector<std::function<void()>> m_deferred;
   std::vector<std::unique_ptr<timer::PeriodicHandler>> m_timers;
-  ACE_Timer_Heap m_queue;
+  ACE_Timer_Heap m_timerQueue;
 };
 
 }
--- a/src/eventloop/iiohandler.h
+++ b/src/eventloop/iiohandler.h
@@ -4,7 +4,7 @@
 
 namespace hemlockgauge::eventloop {
 
-//! Told when a descriptor that it registered is ready.
+//! Receives the events of descriptors registered with an EventLoop.
 class IIoHandler
 {
 public:
--- a/src/eventloop/socketoptions.cpp
+++ b/src/eventloop/socketoptions.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-//! What is sent must be acknowledged within this, in ms: over the longest
-//! loss of packets that a link recovers from by itself.
+//! TCP_USER_TIMEOUT: maximum time in ms until sent data is acknowledged.
+//! Longer than any packet loss that a link recovers from by itself.
 constexpr int kPeerTimeoutMs = 1500;
 constexpr int kCallerTimeoutMs = 5000;
-//! An idle peer is asked for a sign of life after this many seconds, again
-//! each so many, and given up after so many.
+//! TCP keep-alive: the idle time in seconds before the first probe, the
+//! interval in seconds between probes, and the number of unanswered probes
+//! after which the connection is dropped.
 constexpr int kKeepAliveIdleS = 1;
 constexpr int kKeepAliveIntervalS = 1;
 constexpr int kKeepAliveCount = 2;
 
 void
-Set(ACE_SOCK& aSocket, int aLevel, int aOption, int aValue)
+SetIntOption(ACE_SOCK& aSocket, int aLevel, int aOption, int aValue)
 {
   aSocket.set_option(aLevel, aOption, &aValue, sizeof(aValue));
 }
@@ -30,19 +31,19 @@
 void
 SetPeerOptions(ACE_SOCK& aSocket)
 {
-  Set(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kPeerTimeoutMs);
-  Set(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveCount);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kPeerTimeoutMs);
+  SetIntOption(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleS);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalS);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveCount);
 }
 
 void
 SetCallerOptions(ACE_SOCK& aSocket)
 {
-  Set(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kCallerTimeoutMs);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
+  SetIntOption(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kCallerTimeoutMs);
 }
 
 }
--- a/src/eventloop/socketoptions.h
+++ b/src/eventloop/socketoptions.h
@@ -4,14 +4,15 @@
 
 namespace hemlockgauge::eventloop {
 
-//! For a connection that this program opened, or one between routers: no
-//! delay for small messages, and an end that has lost power or its way is
-//! noticed within some two seconds, also while nothing is sent.
+//! Sets the options of a connection that this program opened, or of one
+//! between routers: no delay of small messages, and keep-alive, so that a peer
+//! without power or network is detected within about two seconds, also while
+//! the connection is idle.
 void
 SetPeerOptions(ACE_SOCK& aSocket);
 
-//! For callers' connections, set on their listener: a caller that is gone
-//! is noticed once something is sent to it.
+//! Sets the options of callers' connections, on the listening socket. A caller
+//! that has vanished is detected only after data is sent to it.
 void
 SetCallerOptions(ACE_SOCK& aSocket);
 
--- a/src/eventloop/tests/busymetertests.cpp
+++ b/src/eventloop/tests/busymetertests.cpp
@@ -5,8 +5,8 @@
 using namespace hemlockgauge::eventloop;
 using namespace std::chrono_literals;
 
-//! A process that starts anew finds its callers waiting.
-Test(busymeter, ItCountsFromItsStartNotFromTheClocksZero)
+//! A restarted process finds callers waiting at its first poll.
+Test(busymeter, CountsFromConstructionNotFromClockZero)
 {
   BusyMeter meter(5000ms);
   cr_assert(meter.BusyFor() == 0ms);
@@ -14,7 +14,7 @@
   cr_assert(meter.BusyFor() == 10ms);
 }
 
-Test(busymeter, ALoopThatFindsNothingHasRested)
+Test(busymeter, EmptyPollResetsBusyTime)
 {
   BusyMeter meter(900ms);
   meter.Looked(true, 1000ms);
@@ -24,8 +24,8 @@
   cr_assert(meter.BusyFor() == 5ms);
 }
 
-//! A flood: each look finds more, in rounds of 25 ms.
-Test(busymeter, UnderAFloodItGrowsUntilTheLoopHasCaughtUp)
+//! Overload: each poll finds more events, in iterations of 25 ms.
+Test(busymeter, GrowsUnderOverloadUntilAPollFindsNothing)
 {
   BusyMeter meter(900ms);
   meter.Looked(false, 1000ms);
@@ -39,8 +39,9 @@
   cr_assert(meter.BusyFor() == 0ms);
 }
 
-//! A process that stood still finds what came meanwhile.
-Test(busymeter, AStandstillCountsAsBusy)
+//! After a pause of the process the first poll finds the events that
+//! arrived during the pause.
+Test(busymeter, PauseOfTheProcessCountsAsBusy)
 {
   BusyMeter meter(900ms);
   meter.Looked(false, 1000ms);
--- a/src/framing/framebuffer.cpp
+++ b/src/framing/framebuffer.cpp
@@ -26,8 +26,9 @@
   for (std::size_t i = 0; i < kLengthBytes; ++i) {
     length = length << 8 | m_bytes[i];
   }
-  if (length == 0 || length > m_mostBytes) {
-    throw base::Error(base::ErrorCode::BadFrame, "frame length out of bounds");
+  if (length == 0 || length > m_maxFrameBytes) {
+    throw base::Error(base::ErrorCode::BadFrame,
+                      "frame length is 0 or above the maximum");
   }
   if (m_bytes.size() < kLengthBytes + length) {
     return false;
--- a/src/framing/framebuffer.h
+++ b/src/framing/framebuffer.h
@@ -7,25 +7,27 @@
 
 namespace hemlockgauge::framing {
 
-//! Cuts a stream of bytes into frames: four bytes of length, big-endian,
-//! then that many bytes. Throws Error(BadFrame) on a length out of bounds.
+//! Splits a byte stream into frames: a length of four bytes, big-endian, then
+//! that many bytes.
 class FrameBuffer
 {
 public:
-  explicit FrameBuffer(std::size_t aMostBytes)
-    : m_mostBytes(aMostBytes)
+  explicit FrameBuffer(std::size_t aMaxFrameBytes)
+    : m_maxFrameBytes(aMaxFrameBytes)
   {
   }
 
   void Append(std::span<const std::uint8_t> aBytes);
-  //! Takes the next whole frame; false if there is none yet.
+  //! Moves the next complete frame to aFrame; false if there is none yet.
+  //! Throws Error(BadFrame) if the length is 0 or above the maximum.
   bool Next(std::vector<std::uint8_t>& aFrame);
 
 private:
-  std::size_t m_mostBytes;
+  std::size_t m_maxFrameBytes;
   std::vector<std::uint8_t> m_bytes;
 };
 
+//! Returns aFrame with its length prefix.
 std::vector<std::uint8_t>
 WithLength(const std::vector<std::uint8_t>& aFrame);
 
--- a/src/framing/frameconnection.cpp
+++ b/src/framing/frameconnection.cpp
@@ -23,11 +23,11 @@
 
 FrameConnection::FrameConnection(eventloop::EventLoop& aLoop,
                                  const base::Address& aAddress,
-                                 std::size_t aMostBytes,
+                                 std::size_t aMaxFrameBytes,
                                  IFrameEvents& aEvents)
   : m_loop(aLoop)
   , m_events(aEvents)
-  , m_buffer(aMostBytes)
+  , m_buffer(aMaxFrameBytes)
   , m_open(true)
 {
   const ACE_INET_Addr address(aAddress.port, aAddress.ip.c_str());
@@ -37,29 +37,29 @@
   const bool failed =
     result == -1 && errno != EWOULDBLOCK && errno != EINPROGRESS;
   if (failed) {
-    m_loop.Defer([this] { Lose(); });
+    m_loop.Defer([this] { CloseAndReport(); });
     return;
   }
   m_stream.enable(ACE_NONBLOCK);
   eventloop::SetPeerOptions(m_stream);
-  m_watched = EPOLLOUT;
-  m_loop.Add(m_stream.get_handle(), *this, m_watched);
+  m_watchedEvents = EPOLLOUT;
+  m_loop.Add(m_stream.get_handle(), *this, m_watchedEvents);
 }
 
 FrameConnection::FrameConnection(eventloop::EventLoop& aLoop,
                                  const ACE_SOCK_Stream& aStream,
-                                 std::size_t aMostBytes,
+                                 std::size_t aMaxFrameBytes,
                                  IFrameEvents& aEvents)
   : m_loop(aLoop)
   , m_events(aEvents)
   , m_stream(aStream)
-  , m_buffer(aMostBytes)
-  , m_watched(EPOLLIN)
+  , m_buffer(aMaxFrameBytes)
+  , m_watchedEvents(EPOLLIN)
   , m_connected(true)
   , m_open(true)
 {
   eventloop::SetPeerOptions(m_stream);
-  m_loop.Add(m_stream.get_handle(), *this, m_watched);
+  m_loop.Add(m_stream.get_handle(), *this, m_watchedEvents);
 }
 
 FrameConnection::~FrameConnection()
@@ -74,14 +74,14 @@
     return;
   }
   m_open = false;
-  if (m_watched != 0) {
+  if (m_watchedEvents != 0) {
     m_loop.Remove(m_stream.get_handle());
   }
   m_stream.close();
 }
 
 void
-FrameConnection::Lose()
+FrameConnection::CloseAndReport()
 {
   if (m_open) {
     Close();
@@ -93,22 +93,22 @@
 FrameConnection::Send(const std::vector<std::uint8_t>& aFrame)
 {
   const auto bytes = WithLength(aFrame);
-  m_out.insert(m_out.end(), bytes.begin(), bytes.end());
+  m_sendBuffer.insert(m_sendBuffer.end(), bytes.begin(), bytes.end());
   if (m_connected) {
     Flush();
   }
 }
 
 void
-FrameConnection::Watch()
+FrameConnection::UpdateWatchedEvents()
 {
   if (!m_open) {
     return;
   }
   const std::uint32_t events =
-    EPOLLIN | (m_sent < m_out.size() ? EPOLLOUT : 0U);
-  if (events != m_watched) {
-    m_watched = events;
+    EPOLLIN | (m_sentBytes < m_sendBuffer.size() ? EPOLLOUT : 0U);
+  if (events != m_watchedEvents) {
+    m_watchedEvents = events;
     m_loop.Modify(m_stream.get_handle(), events);
   }
 }
@@ -118,7 +118,7 @@
 {
   if (!m_connected) {
     if ((aEvents & (EPOLLERR | EPOLLHUP)) != 0) {
-      Lose();
+      CloseAndReport();
       return;
     }
     m_connected = true;
@@ -136,47 +136,48 @@
 void
 FrameConnection::Flush()
 {
-  while (m_sent < m_out.size()) {
-    const auto put =
-      m_stream.send(m_out.data() + m_sent, m_out.size() - m_sent);
-    if (put > 0) {
-      m_sent += static_cast<std::size_t>(put);
+  while (m_sentBytes < m_sendBuffer.size()) {
+    const auto sent = m_stream.send(m_sendBuffer.data() + m_sentBytes,
+                                    m_sendBuffer.size() - m_sentBytes);
+    if (sent > 0) {
+      m_sentBytes += static_cast<std::size_t>(sent);
       continue;
     }
     if (errno == EWOULDBLOCK || errno == EINTR) {
       break;
     }
-    Lose();
+    CloseAndReport();
     return;
   }
-  if (m_sent == m_out.size()) {
-    std::vector<std::uint8_t>().swap(m_out);
-    m_sent = 0;
+  if (m_sentBytes == m_sendBuffer.size()) {
+    std::vector<std::uint8_t>().swap(m_sendBuffer);
+    m_sentBytes = 0;
   }
-  Watch();
+  UpdateWatchedEvents();
 }
 
 void
 FrameConnection::Read()
 {
   std::array<std::uint8_t, kReadBytes> bytes;
-  const auto got = m_stream.recv(bytes.data(), bytes.size());
-  if (got == 0 || (got == -1 && errno != EWOULDBLOCK && errno != EINTR)) {
-    Lose();
+  const auto received = m_stream.recv(bytes.data(), bytes.size());
+  if (received == 0 ||
+      (received == -1 && errno != EWOULDBLOCK && errno != EINTR)) {
+    CloseAndReport();
     return;
   }
-  if (got < 0) {
+  if (received < 0) {
     return;
   }
   try {
-    m_buffer.Append({ bytes.data(), static_cast<std::size_t>(got) });
+    m_buffer.Append({ bytes.data(), static_cast<std::size_t>(received) });
     std::vector<std::uint8_t> frame;
     while (m_open && m_buffer.Next(frame)) {
       m_events.OnFrame(*this, frame);
     }
   } catch (const base::Error& error) {
     base::LogLine("bad-frame").Add("why", error.what()).Warn();
-    Lose();
+    CloseAndReport();
   }
 }
 
--- a/src/framing/frameconnection.h
+++ b/src/framing/frameconnection.h
@@ -17,7 +17,7 @@
 
 class FrameConnection;
 
-//! Told what happens on a FrameConnection.
+//! Receives the frames and the end of a FrameConnection.
 class IFrameEvents
 {
 public:
@@ -25,49 +25,51 @@
 
   virtual void OnFrame(FrameConnection& aConnection,
                        const std::vector<std::uint8_t>& aFrame) = 0;
-  //! The last call for this connection.
+  //! The connection failed, or the peer closed it or sent a bad frame. This
+  //! is the last call for aConnection.
   virtual void OnLost(FrameConnection& aConnection) = 0;
 };
 
-//! One TCP connection that carries frames both ways.
+//! TCP connection that carries frames in both directions.
 class FrameConnection : public eventloop::IIoHandler
 {
 public:
-  //! The end that connects.
+  //! Connects to aAddress without blocking.
   FrameConnection(eventloop::EventLoop& aLoop,
                   const base::Address& aAddress,
-                  std::size_t aMostBytes,
+                  std::size_t aMaxFrameBytes,
                   IFrameEvents& aEvents);
-  //! The end that accepted.
+  //! Takes over an accepted connection.
   FrameConnection(eventloop::EventLoop& aLoop,
                   const ACE_SOCK_Stream& aStream,
-                  std::size_t aMostBytes,
+                  std::size_t aMaxFrameBytes,
                   IFrameEvents& aEvents);
   ~FrameConnection() override;
   FrameConnection(const FrameConnection&) = delete;
   FrameConnection& operator=(const FrameConnection&) = delete;
 
+  //! Queues a frame and sends as much as the socket accepts.
   void Send(const std::vector<std::uint8_t>& aFrame);
-  //! Without a word to the owner.
+  //! Closes the connection without calling OnLost.
   void Close();
   bool IsOpen() const { return m_open; }
-  bool HasUnsent() const { return m_sent < m_out.size(); }
+  bool HasUnsent() const { return m_sentBytes < m_sendBuffer.size(); }
 
   void OnIo(std::uint32_t aEvents) override;
 
 private:
   void Flush();
   void Read();
-  void Watch();
-  void Lose();
+  void UpdateWatchedEvents();
+  void CloseAndReport();
 
   eventloop::EventLoop& m_loop;
   IFrameEvents& m_events;
   ACE_SOCK_Stream m_stream;
   FrameBuffer m_buffer;
-  std::vector<std::uint8_t> m_out;
-  std::size_t m_sent = 0;
-  std::uint32_t m_watched = 0;
+  std::vector<std::uint8_t> m_sendBuffer;
+  std::size_t m_sentBytes = 0;
+  std::uint32_t m_watchedEvents = 0;
   bool m_connected = false;
   bool m_open = false;
 };
--- a/src/metrics/latencyhistogram.h
+++ b/src/metrics/latencyhistogram.h
@@ -7,7 +7,7 @@
 
 namespace hemlockgauge::metrics {
 
-//! Times from 0.1 ms to 100 s on a logarithmic axis.
+//! Histogram of latencies in ms, with logarithmic bins from 0.1 ms to 100 s.
 class LatencyHistogram
 {
 public:
@@ -23,33 +23,34 @@
   std::uint64_t Count() const { return m_count; }
   double Sum() const { return m_sum; }
 
-  //! Upper edge of the bin that holds the quantile; 0 if empty.
+  //! Upper edge, in ms, of the bin that contains the quantile (0 to 1); 0 if
+  //! the histogram is empty.
   double Quantile(double aQuantile) const
   {
     const double rank = aQuantile * static_cast<double>(m_count);
-    double seen = 0;
+    double cumulative = 0;
     for (auto&& bin : boost::histogram::indexed(
            m_histogram, boost::histogram::coverage::all)) {
-      seen += static_cast<double>(*bin);
-      if (seen >= rank && m_count > 0) {
+      cumulative += static_cast<double>(*bin);
+      if (cumulative >= rank && m_count > 0) {
         return bin.bin().upper();
       }
     }
     return 0;
   }
 
-  //! How many were at most aMillis, by whole bins.
+  //! Number of values in the bins whose upper edge is at most aMillis.
   std::uint64_t CountUpTo(double aMillis) const
   {
-    std::uint64_t seen = 0;
+    std::uint64_t cumulative = 0;
     for (auto&& bin : boost::histogram::indexed(
            m_histogram, boost::histogram::coverage::all)) {
       if (bin.bin().upper() > aMillis * 1.0001) {
         break;
       }
-      seen += static_cast<std::uint64_t>(*bin);
+      cumulative += static_cast<std::uint64_t>(*bin);
     }
-    return seen;
+    return cumulative;
   }
 
 private:
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 constexpr std::string_view kPrefix = "hemlockgauge_";
-constexpr std::array kBoundsMs{ 1.0,    5.0,     10.0,   25.0,  50.0,
-                                100.0,  250.0,   350.0,  500.0, 1000.0,
-                                2500.0, 10000.0, 60000.0 };
+constexpr std::array kBucketBoundsMs{ 1.0,    5.0,     10.0,   25.0,  50.0,
+                                      100.0,  250.0,   350.0,  500.0, 1000.0,
+                                      2500.0, 10000.0, 60000.0 };
 
 std::string
-BaseName(const std::string& aName)
+NameWithoutLabels(const std::string& aName)
 {
   return aName.substr(0, aName.find('{'));
 }
 
 template<typename Table>
 void
-PutTable(std::string& aOut, const Table& aTable, std::string_view aType)
+AppendTable(std::string& aOut, const Table& aTable, std::string_view aType)
 {
-  std::string last;
+  std::string lastBase;
   for (const auto& [name, value] : aTable) {
-    const auto base = BaseName(name);
-    if (base != last) {
+    const auto base = NameWithoutLabels(name);
+    if (base != lastBase) {
       aOut += fmt::format("# TYPE {}{} {}\n", kPrefix, base, aType);
-      last = base;
+      lastBase = base;
     }
     aOut += fmt::format("{}{} {}\n", kPrefix, name, value);
   }
@@ -77,11 +77,11 @@
 {
   const std::lock_guard lock(m_mutex);
   std::string out;
-  PutTable(out, m_counters, "counter");
-  PutTable(out, m_gauges, "gauge");
+  AppendTable(out, m_counters, "counter");
+  AppendTable(out, m_gauges, "gauge");
   for (const auto& [name, latency] : m_latencies) {
     out += fmt::format("# TYPE {}{} histogram\n", kPrefix, name);
-    for (const double bound : kBoundsMs) {
+    for (const double bound : kBucketBoundsMs) {
       out += fmt::format("{}{}_bucket{{le=\"{}\"}} {}\n",
                          kPrefix,
                          name,
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -11,20 +11,22 @@
 
 class LatencyHistogram;
 
-//! Counters, gauges and latencies of the process, for every thread.
+//! Counters, gauges and latency histograms of the process; thread-safe.
 class Metrics
 {
 public:
   Metrics();
   ~Metrics();
 
-  //! aName with its labels, as "requests_total{verdict=\"ran\"}".
+  //! Adds aBy to a counter. aName includes its labels, for example
+  //! "requests_total{verdict=\"ran\"}".
   void Count(std::string_view aName, std::uint64_t aBy = 1);
+  //! Sets a gauge. aName includes its labels.
   void Set(std::string_view aName, double aValue);
-  //! aName without labels.
+  //! Adds a latency to a histogram. aName has no labels.
   void Observe(std::string_view aName, double aMillis);
 
-  //! All of it in the text exposition format.
+  //! All metrics in the Prometheus text exposition format.
   std::string Text() const;
 
 private:
--- a/src/timer/internal/reactortimerservice.cpp
+++ b/src/timer/internal/reactortimerservice.cpp
@@ -32,7 +32,8 @@
   const ACE_Time_Value period(
     std::chrono::duration_cast<std::chrono::microseconds>(aPeriod));
   if (m_reactor.schedule_timer(handler.get(), nullptr, period, period) == -1) {
-    throw base::Error(base::ErrorCode::Internal, "no timer to be had");
+    throw base::Error(base::ErrorCode::Internal,
+                      "failed to schedule a periodic timer");
   }
 }
 
--- a/src/timer/internal/reactortimerservice.h
+++ b/src/timer/internal/reactortimerservice.h
@@ -11,7 +11,7 @@
 
 class PeriodicHandler;
 
-//! Timers of an ACE reactor; it must outlive this.
+//! Timer service on an ACE reactor. The reactor must outlive the service.
 class ReactorTimerService : public ITimerService
 {
 public:
--- a/src/timer/itimerservice.h
+++ b/src/timer/itimerservice.h
@@ -6,13 +6,15 @@
 
 namespace hemlockgauge::timer {
 
-//! Parts subscribe to be called again and again on the control thread.
+//! Calls subscribers periodically, on the thread that runs the timers, and
+//! provides the current time.
 class ITimerService
 {
 public:
   virtual ~ITimerService() = default;
 
-  //! aCallback must not throw.
+  //! Calls aCallback every aPeriod, first after one aPeriod. aCallback must not
+  //! throw.
   virtual void Subscribe(base::Duration aPeriod,
                          std::function<void()> aCallback) = 0;
   virtual base::TimePoint Now() const = 0;
--- a/src/timer/periodichandler.h
+++ b/src/timer/periodichandler.h
@@ -7,7 +7,7 @@
 
 namespace hemlockgauge::timer {
 
-//! Calls back at each timeout of an ACE timer queue or reactor.
+//! Calls a function at each timeout of an ACE timer queue or reactor.
 class PeriodicHandler : public ACE_Event_Handler
 {
 public:
--- a/src/timer/timermodule.h
+++ b/src/timer/timermodule.h
@@ -8,6 +8,7 @@
 
 class ITimerService;
 
+//! Creates a timer service on aReactor, which must outlive it.
 std::unique_ptr<ITimerService>
 MakeTimerService(ACE_Reactor& aReactor);
 
