--- a/src/soak/chaosproxy.cpp
+++ b/src/soak/chaosproxy.cpp
@@ -20,11 +20,11 @@
 
 }
 
-//! One connection through the proxy: two sockets.
+//! One proxied connection: the caller's socket and the target's.
 class ProxyPair
 {
 public:
-  //! One of the two sockets.
+  //! One of the two sockets, and the bytes read from it.
   class End : public eventloop::IIoHandler
   {
   public:
@@ -38,10 +38,10 @@
     ProxyPair& pair;
     bool isTarget;
     ACE_SOCK_Stream stream;
-    bool sawEnd = false;
+    bool atEnd = false;
     bool paused = false;
-    //! Read here, to be written to the other end.
-    std::deque<std::pair<base::TimePoint, std::string>> waiting;
+    //! Bytes read from this socket, with the time to write them to the other.
+    std::deque<std::pair<base::TimePoint, std::string>> pending;
   };
 
   ProxyPair(ChaosProxy& aProxy, const ACE_SOCK_Stream& aCaller)
@@ -51,8 +51,8 @@
     const ACE_INET_Addr address(aProxy.m_target.port,
                                 aProxy.m_target.ip.c_str());
     ACE_SOCK_Connector connector;
-    const ACE_Time_Value limit(0, 200000);
-    m_open = connector.connect(m_target.stream, address, &limit) == 0;
+    const ACE_Time_Value connectTimeout(0, 200000);
+    m_open = connector.connect(m_target.stream, address, &connectTimeout) == 0;
     if (!m_open) {
       m_caller.stream.close();
       return;
@@ -74,11 +74,14 @@
     m_open = false;
     for (auto* end : { &m_caller, &m_target }) {
       if (aReset) {
-        const linger hard{ 1, 0 };
-        setsockopt(
-          end->stream.get_handle(), SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+        const linger resetOnClose{ 1, 0 };
+        setsockopt(end->stream.get_handle(),
+                   SOL_SOCKET,
+                   SO_LINGER,
+                   &resetOnClose,
+                   sizeof(resetOnClose));
       }
-      if (!end->sawEnd) {
+      if (!end->atEnd) {
         m_proxy.m_loop.Remove(end->stream.get_handle());
       }
       end->stream.close();
@@ -88,67 +91,67 @@
   void Read(End& aEnd)
   {
     if (m_proxy.m_silent) {
-      aEnd.paused = true; // the bytes stay where they are
+      aEnd.paused = true; // unread bytes stay in the kernel
       m_proxy.m_loop.Modify(aEnd.stream.get_handle(), 0);
       return;
     }
     std::array<char, kReadBytes> bytes;
-    const auto got = aEnd.stream.recv(bytes.data(), bytes.size());
-    if (got > 0) {
-      const bool lost = m_proxy.m_oneWay && aEnd.isTarget;
-      if (!lost) {
-        aEnd.waiting.emplace_back(
+    const auto received = aEnd.stream.recv(bytes.data(), bytes.size());
+    if (received > 0) {
+      const bool isDropped = m_proxy.m_oneWay && aEnd.isTarget;
+      if (!isDropped) {
+        aEnd.pending.emplace_back(
           m_proxy.m_loop.Now() + m_proxy.m_delay,
-          std::string(bytes.data(), static_cast<std::size_t>(got)));
+          std::string(bytes.data(), static_cast<std::size_t>(received)));
       }
-      Pass(m_proxy.m_loop.Now());
+      Forward(m_proxy.m_loop.Now());
       return;
     }
-    if (got == -1 && (errno == EWOULDBLOCK || errno == EINTR)) {
+    if (received == -1 && (errno == EWOULDBLOCK || errno == EINTR)) {
       return;
     }
-    if (got == -1) {
+    if (received == -1) {
       Close(true);
       m_proxy.Forget(*this);
       return;
     }
-    aEnd.sawEnd = true;
+    aEnd.atEnd = true;
     m_proxy.m_loop.Remove(aEnd.stream.get_handle());
-    Pass(m_proxy.m_loop.Now());
+    Forward(m_proxy.m_loop.Now());
   }
 
-  void Pass(base::TimePoint aNow)
+  void Forward(base::TimePoint aNow)
   {
     if (!m_open || m_proxy.m_silent) {
       return;
     }
     for (auto* end : { &m_caller, &m_target }) {
-      if (end->paused && !end->sawEnd) {
+      if (end->paused && !end->atEnd) {
         end->paused = false;
         m_proxy.m_loop.Modify(end->stream.get_handle(), EPOLLIN);
       }
     }
-    PassFrom(m_caller, m_target, aNow);
-    PassFrom(m_target, m_caller, aNow);
-    const bool drained = m_caller.waiting.empty() && m_target.waiting.empty();
-    if (drained && (m_caller.sawEnd || m_target.sawEnd)) {
+    ForwardFrom(m_caller, m_target, aNow);
+    ForwardFrom(m_target, m_caller, aNow);
+    const bool drained = m_caller.pending.empty() && m_target.pending.empty();
+    if (drained && (m_caller.atEnd || m_target.atEnd)) {
       Close(false);
       m_proxy.Forget(*this);
     }
   }
 
 private:
-  static void PassFrom(End& aFrom, End& aTo, base::TimePoint aNow)
+  static void ForwardFrom(End& aFrom, End& aTo, base::TimePoint aNow)
   {
-    while (!aFrom.waiting.empty() && aFrom.waiting.front().first <= aNow) {
-      auto& bytes = aFrom.waiting.front().second;
-      const auto put = aTo.stream.send(bytes.data(), bytes.size());
-      if (put <= 0) {
+    while (!aFrom.pending.empty() && aFrom.pending.front().first <= aNow) {
+      auto& bytes = aFrom.pending.front().second;
+      const auto sent = aTo.stream.send(bytes.data(), bytes.size());
+      if (sent <= 0) {
         return;
       }
-      bytes.erase(0, static_cast<std::size_t>(put));
+      bytes.erase(0, static_cast<std::size_t>(sent));
       if (bytes.empty()) {
-        aFrom.waiting.pop_front();
+        aFrom.pending.pop_front();
       }
     }
   }
@@ -211,7 +214,7 @@
     all.push_back(key);
   }
   for (auto* pair : all) {
-    pair->Pass(aNow);
+    pair->Forward(aNow);
   }
 }
 
--- a/src/soak/chaosproxy.h
+++ b/src/soak/chaosproxy.h
@@ -20,8 +20,8 @@
 
 class ProxyPair;
 
-//! Passes bytes between those who connect to it and one address, and does
-//! harm to the connections that pass it.
+//! TCP proxy in front of one address that injects network faults into the
+//! connections through it.
 class ChaosProxy
 {
 public:
@@ -30,16 +30,18 @@
              const base::Address& aTarget);
   ~ChaosProxy();
 
-  //! All connections of now end with a reset.
+  //! Closes all current connections with a TCP reset.
   void ResetAll();
-  //! Nothing listens here any more, as after a crash of the target.
+  //! Resets all connections and stops listening, as after a crash of the
+  //! target.
   void Close();
-  //! While on, nothing passes on any connection, old or new.
+  //! While on, no bytes are forwarded on any connection, existing or new.
   void SetSilent(bool aOn) { m_silent = aOn; }
-  //! While on, what the target sends is lost.
+  //! While on, bytes sent by the target are dropped.
   void SetOneWay(bool aOn) { m_oneWay = aOn; }
+  //! Delays bytes that are read from now on, in both directions.
   void SetDelay(base::Duration aDelay) { m_delay = aDelay; }
-  //! Passes on what is due.
+  //! Forwards the bytes whose delay has passed.
   void Tick(base::TimePoint aNow);
 
 private:
--- a/src/soak/crashingcaller.cpp
+++ b/src/soak/crashingcaller.cpp
@@ -11,10 +11,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::string_view kPrefix = "/crash/";
-constexpr base::Duration kFirst = 1000ms;
-//! Several come while an upstream's crash is not known everywhere yet.
-constexpr base::Duration kGap = 130ms;
+constexpr std::string_view kPathPrefix = "/crash/";
+constexpr base::Duration kStartDelay = 1000ms;
+//! Short enough that several requests arrive before all routers know of an
+//! upstream's crash.
+constexpr base::Duration kInterval = 130ms;
 
 }
 
@@ -38,25 +39,25 @@
 }
 
 bool
-CrashingCaller::IsRunOf(const std::string& aTarget)
+CrashingCaller::IsCrashingRequest(const std::string& aTarget)
 {
-  return aTarget.starts_with(kPrefix);
+  return aTarget.starts_with(kPathPrefix);
 }
 
 void
 CrashingCaller::Tick(base::TimePoint aNow)
 {
-  if (aNow < m_nextAt || aNow - m_shared.startedAt < kFirst) {
+  if (aNow < m_nextAt || aNow - m_shared.startedAt < kStartDelay) {
     return;
   }
-  m_nextAt = aNow + kGap;
+  m_nextAt = aNow + kInterval;
   DropConnection();
   const auto& routers = m_shared.routers;
   m_connection = std::make_unique<http::ClientConnection>(
     m_shared.loop, routers[++m_count % routers.size()], *this);
   standins::CallText call;
   call.method = "POST";
-  call.path = std::string(kPrefix) + "x";
+  call.path = std::string(kPathPrefix) + "x";
   call.id = fmt::format("crash-{}", m_count);
   call.body = "crashes whoever runs it";
   call.promptTokens = 300;
--- a/src/soak/crashingcaller.h
+++ b/src/soak/crashingcaller.h
@@ -9,8 +9,8 @@
 
 namespace hemlockgauge::soak {
 
-//! Sends one and the same request again and again, under new ids and to one
-//! router after the other, whatever comes of it. Upstreams crash under it.
+//! Sends the same request repeatedly, under new ids and to the routers in
+//! turn, and ignores the responses. Upstreams that run the request crash.
 class CrashingCaller : public http::IClientEvents
 {
 public:
@@ -18,8 +18,8 @@
   ~CrashingCaller() override;
 
   void Tick(base::TimePoint aNow);
-  //! Whether a run at an upstream is of this request.
-  static bool IsRunOf(const std::string& aTarget);
+  //! Returns whether a request with this target is the crashing request.
+  static bool IsCrashingRequest(const std::string& aTarget);
 
   HeadVerdict OnAnswerHead(http::ClientConnection&,
                            http::ResponseHead&&) override
--- /dev/null
+++ b/src/soak/guarantees.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include "base/basetypes.h"
+#include "base/enumnames.h"
+
+#include <array>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace hemlockgauge::soak {
+
+//! Guarantees of the fleet that a soak run checks.
+enum class Guarantee : std::uint8_t
+{
+  CompleteResponse,   //!< a success is the complete response to that request
+  StreamInOrder,      //!< stream events come once, in order, also if cut
+  NotRunIsAccurate,   //!< a request reported as "not run" never ran
+  AtMostOnce,         //!< a non-idempotent request ran at most once
+  CorrectWorkspace,   //!< the upstream got the workspace but not the key
+  NoWorkForLeaving,   //!< after the bound a draining or removed upstream got no
+                      //!< work
+  RevokedKeyRejected, //!< after the bound no request ran with a revoked key
+  GracefulStop, //!< a planned stop without recent faults aborted no request
+  NoWorkInEvacuatedZone, //!< after the bound an evacuated zone got no work
+  ColdUpstreamLimited,   //!< a cold upstream stayed within its rate limit
+  CrashingRequestStops,  //!< a request that crashes upstreams is quarantined
+  Recovery               //!< after the last fault requests are served again
+};
+inline constexpr auto kGuaranteeNames =
+  base::MakeEnumNames<Guarantee>("own-whole-answer",
+                                 "stream-in-order",
+                                 "not-run-is-true",
+                                 "at-most-once",
+                                 "own-workspace",
+                                 "nothing-to-leaving",
+                                 "withdrawn-key-stops",
+                                 "graceful-stop-cuts-nothing",
+                                 "nothing-to-evacuated",
+                                 "cold-is-spared",
+                                 "crashing-request-stops",
+                                 "recovery");
+inline constexpr std::size_t kGuaranteeCount =
+  static_cast<std::size_t>(Guarantee::Recovery) + 1;
+
+//! Counts the checks of each guarantee and records the violations.
+class GuaranteeChecker
+{
+public:
+  //! Counts a check of aGuarantee; records aViolation as a violation if
+  //! !aHolds.
+  void Check(Guarantee aGuarantee, bool aHolds, const std::string& aViolation);
+  //! Records that a request ran at an upstream; checks AtMostOnce.
+  void RecordRun(const std::string& aId, bool aMayRunAgain, bool aIsResumption);
+  //! Records that a caller was told that its request did not run.
+  void RecordNotRun(const std::string& aId);
+  //! Checks NotRunIsAccurate. Call it once, after the last request has ended.
+  void Finish();
+
+  //! Number of checks of a guarantee.
+  std::uint64_t CheckCount(Guarantee aGuarantee) const;
+  const std::vector<std::string>& Violations() const { return m_violations; }
+
+private:
+  std::array<std::uint64_t, kGuaranteeCount> m_checkCounts{};
+  std::vector<std::string> m_violations;
+  std::map<std::string, int> m_runs;
+  std::set<std::string> m_reportedNotRun;
+};
+
+}
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -8,16 +8,18 @@
 #include <iostream>
 
 DEFINE_uint64(seed, 1, "first seed; the same seed gives the same plan");
-DEFINE_uint32(seeds, 1, "how many seeds, one after the other");
-DEFINE_uint32(seconds, 20, "how long faults are injected in each");
-DEFINE_uint32(routers, 3, "router processes");
-DEFINE_uint32(upstreams, 5, "upstreams");
-DEFINE_uint32(callers, 12, "callers");
-DEFINE_uint32(restores, 0, "how often the store comes back from a copy");
-DEFINE_uint32(zone_faults, 0, "evacuations and upstreams that return cold");
+DEFINE_uint32(seeds, 1, "number of seeds, run one after the other");
+DEFINE_uint32(seconds, 20, "duration of fault injection per seed, in seconds");
+DEFINE_uint32(routers, 3, "number of router processes");
+DEFINE_uint32(upstreams, 5, "number of upstreams");
+DEFINE_uint32(callers, 12, "number of callers");
+DEFINE_uint32(restores, 0, "number of restores of the store from a copy");
+DEFINE_uint32(zone_faults,
+              0,
+              "number of zone evacuations and cold returns of upstreams");
 DEFINE_uint32(port, 26000, "first of a hundred free ports on loopback");
-DEFINE_string(router, "", "the gateway program");
-DEFINE_string(directory, "", "where settings, logs and reports are put");
+DEFINE_string(router, "", "path of the gateway program");
+DEFINE_string(directory, "", "directory for settings, logs and reports");
 
 using namespace hemlockgauge;
 
@@ -26,7 +28,7 @@
 {
   gflags::SetUsageMessage(
     "--router=PROGRAM --directory=DIR [--seed=N --seeds=N --seconds=N ...]\n"
-    "Exit codes: 0 all promises held, 1 one was broken, 2 could not run.");
+    "Exit codes: 0 all guarantees held, 1 one was violated, 2 could not run.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::signal(SIGPIPE, SIG_IGN);
   bool held = true;
--- a/src/soak/routerprocess.cpp
+++ b/src/soak/routerprocess.cpp
@@ -13,11 +13,11 @@
 namespace hemlockgauge::soak {
 
 RouterProcess::RouterProcess(std::string aProgram,
-                             const std::string& aSettings,
-                             std::string aLog)
+                             const std::string& aSettingsFile,
+                             std::string aLogFile)
   : m_program(std::move(aProgram))
-  , m_settings("--settings=" + aSettings)
-  , m_log(std::move(aLog))
+  , m_settingsFile("--settings=" + aSettingsFile)
+  , m_logFile(std::move(aLogFile))
 {
 }
 
@@ -33,20 +33,21 @@
 void
 RouterProcess::Start()
 {
-  posix_spawn_file_actions_t files;
-  posix_spawn_file_actions_init(&files);
+  posix_spawn_file_actions_t fileActions;
+  posix_spawn_file_actions_init(&fileActions);
   posix_spawn_file_actions_addopen(
-    &files, 1, m_log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  posix_spawn_file_actions_adddup2(&files, 1, 2);
-  //! NOTE a router would keep the listeners of upstreams open that crash.
-  posix_spawn_file_actions_addclosefrom_np(&files, STDERR_FILENO + 1);
-  char* arguments[] = { m_program.data(), m_settings.data(), nullptr };
-  const int failed =
-    posix_spawn(&m_pid, m_program.c_str(), &files, nullptr, arguments, environ);
-  posix_spawn_file_actions_destroy(&files);
-  if (failed != 0) {
+    &fileActions, 1, m_logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  posix_spawn_file_actions_adddup2(&fileActions, 1, 2);
+  // An inherited listener would stay open in the router after its upstream has
+  // crashed, so all descriptors above stderr are closed.
+  posix_spawn_file_actions_addclosefrom_np(&fileActions, STDERR_FILENO + 1);
+  char* arguments[] = { m_program.data(), m_settingsFile.data(), nullptr };
+  const int spawnError = posix_spawn(
+    &m_pid, m_program.c_str(), &fileActions, nullptr, arguments, environ);
+  posix_spawn_file_actions_destroy(&fileActions);
+  if (spawnError != 0) {
     throw base::Error(base::ErrorCode::Unreachable,
-                      m_program + ": can't be started");
+                      m_program + ": the router program can't be started");
   }
 }
 
@@ -59,14 +60,14 @@
 }
 
 bool
-RouterProcess::HasEnded(int& aExit)
+RouterProcess::HasEnded(int& aExitStatus)
 {
   int status = 0;
   if (!IsRunning() || waitpid(m_pid, &status, WNOHANG) != m_pid) {
     return false;
   }
   m_pid = 0;
-  aExit = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  aExitStatus = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   return true;
 }
 
--- a/src/soak/routerprocess.h
+++ b/src/soak/routerprocess.h
@@ -5,28 +5,29 @@
 
 namespace hemlockgauge::soak {
 
-//! One router as a process of its own. Only processes that it started are
-//! ever signalled, by their ids.
+//! A router in a child process. Signals are sent only to the process that this
+//! object started, by its process id.
 class RouterProcess
 {
 public:
   RouterProcess(std::string aProgram,
-                const std::string& aSettings,
-                std::string aLog);
+                const std::string& aSettingsFile,
+                std::string aLogFile);
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
 
   void Start();
   void Signal(int aSignal);
-  //! Whether it has ended since the last call; aExit gets how.
-  bool HasEnded(int& aExit);
+  //! Returns whether the process has ended since the last call. aExitStatus is
+  //! set to the exit status, or to the negated signal number.
+  bool HasEnded(int& aExitStatus);
   bool IsRunning() const { return m_pid > 0; }
 
 private:
   std::string m_program;
-  std::string m_settings;
-  std::string m_log;
+  std::string m_settingsFile;
+  std::string m_logFile;
   pid_t m_pid = 0;
 };
 
--- a/src/soak/soakcaller.cpp
+++ b/src/soak/soakcaller.cpp
@@ -12,17 +12,18 @@
 
 using namespace std::chrono_literals;
 
-//! One request in so many comes with a key that was withdrawn.
-constexpr std::uint64_t kOutdatedOneIn = 16;
+//! One in this many requests uses a revoked key.
+constexpr std::uint64_t kRevokedKeyOneIn = 16;
 constexpr base::Duration kDeadline = 4000ms;
-//! Over the deadline: nothing may keep a caller longer.
-constexpr base::Duration kPatience = 6000ms;
-constexpr std::uint32_t kPauseMs = 60;
+//! Time after which a caller gives up. It exceeds kDeadline: no request may
+//! take longer.
+constexpr base::Duration kCallTimeout = 6000ms;
+constexpr std::uint32_t kMaxPauseMs = 60;
 constexpr int kTokensPerEvent = 3;
-constexpr int kMostEvents = 20;
+constexpr int kMaxEvents = 20;
 
 std::string
-Event(const std::string& aId, int aEvent)
+FormatEvent(const std::string& aId, int aEvent)
 {
   return fmt::format("id: {}\ndata: {}\n\n",
                      aEvent,
@@ -58,28 +59,28 @@
 SoakCaller::Tick(base::TimePoint aNow)
 {
   if (!m_busy && !m_stopped && aNow >= m_nextAt) {
-    Begin(aNow);
-  } else if (m_busy && aNow - m_begunAt > kPatience) {
+    StartCall(aNow);
+  } else if (m_busy && aNow - m_startedAt > kCallTimeout) {
     DropConnection();
-    CheckPart();
-    End(CallEnd::Failed);
+    CheckStreamPrefix();
+    EndCall(CallOutcome::Failed);
   }
 }
 
 void
-SoakCaller::Begin(base::TimePoint aNow)
+SoakCaller::StartCall(base::TimePoint aNow)
 {
   constexpr const char* kPaths[] = { "safe", "once", "stream", "resumable" };
   const auto kind = m_random() % 4;
   const bool stream = kind >= 2;
   m_id = fmt::format("{}-{}-{}", kPaths[kind], m_index, ++m_count);
-  m_events = stream ? 1 + static_cast<int>(m_random() % kMostEvents) : 0;
+  m_events = stream ? 1 + static_cast<int>(m_random() % kMaxEvents) : 0;
   m_status = 0;
   m_body.clear();
-  m_begunAt = aNow;
+  m_startedAt = aNow;
   m_busy = true;
-  const bool fresh = m_random() % 5 == 0;
-  if (fresh) {
+  const bool useNewConnection = m_random() % 5 == 0;
+  if (useNewConnection) {
     DropConnection();
   }
   if (!m_connection || !m_connection->IsOpen()) {
@@ -92,9 +93,9 @@
   call.method = kind == 0 ? "GET" : "POST";
   call.path = fmt::format("/{}/x", kPaths[kind]);
   call.id = m_id;
-  const bool outdated =
-    !m_shared.withdrawnKey.empty() && m_random() % kOutdatedOneIn == 0;
-  call.key = outdated ? m_shared.withdrawnKey : m_shared.key;
+  const bool useRevokedKey =
+    !m_shared.revokedKey.empty() && m_random() % kRevokedKeyOneIn == 0;
+  call.key = useRevokedKey ? m_shared.revokedKey : m_shared.key;
   call.deadlineMs = kDeadline.count();
   call.body = kind == 0 ? "" : "body of " + m_id;
   if (stream) {
@@ -114,7 +115,7 @@
   }
   std::string text;
   for (int i = 1; i <= m_events; ++i) {
-    text += Event(m_id, i);
+    text += FormatEvent(m_id, i);
   }
   return text;
 }
@@ -124,9 +125,10 @@
 {
   m_status = aHead.status;
   const auto id = standins::AnsweredRequest(aHead.headers);
-  const bool own = id.empty() || id == m_id;
-  m_shared.promises.Check(
-    Promise::OwnWholeAnswer, own, m_id + " got the answer of " + id);
+  const bool isOwnResponse = id.empty() || id == m_id;
+  m_shared.guarantees.Check(Guarantee::CompleteResponse,
+                            isOwnResponse,
+                            m_id + " got the response to " + id);
   return HeadVerdict::Take;
 }
 
@@ -134,8 +136,8 @@
 SoakCaller::OnAnswerBody(http::ClientConnection&, std::string_view aBytes)
 {
   if (m_body.empty() && m_status == 200) {
-    const auto took = m_shared.loop.Now() - m_begunAt;
-    m_shared.firstByteMs.Add(static_cast<double>(took.count()));
+    const auto firstByteTime = m_shared.loop.Now() - m_startedAt;
+    m_shared.firstByteMs.Add(static_cast<double>(firstByteTime.count()));
   }
   m_body += aBytes;
 }
@@ -143,19 +145,21 @@
 void
 SoakCaller::CheckSuccess()
 {
-  m_shared.promises.Check(Promise::OwnWholeAnswer,
-                          m_body == ExpectedBody(),
-                          m_id + " got another body than its own");
+  m_shared.guarantees.Check(Guarantee::CompleteResponse,
+                            m_body == ExpectedBody(),
+                            m_id + " got an unexpected response body");
 }
 
-//! What came of a stream before it broke off is its beginning.
+//! Checks that the received part of a stream is a prefix of the expected body,
+//! also if the stream was cut.
 void
-SoakCaller::CheckPart()
+SoakCaller::CheckStreamPrefix()
 {
   if (m_events > 0 && m_status == 200) {
-    m_shared.promises.Check(Promise::StreamInOrder,
-                            ExpectedBody().starts_with(m_body),
-                            m_id + " has parts out of order");
+    m_shared.guarantees.Check(
+      Guarantee::StreamInOrder,
+      ExpectedBody().starts_with(m_body),
+      m_id + " has stream events that are missing, repeated or out of order");
   }
 }
 
@@ -167,23 +171,23 @@
   }
   if (m_status == 200) {
     CheckSuccess();
-    CheckPart();
-    End(CallEnd::Served);
+    CheckStreamPrefix();
+    EndCall(CallOutcome::Served);
     return;
   }
   const bool notRun = m_status == 503 || m_status == 429;
   if (notRun) {
-    m_shared.promises.ToldNotRun(m_id);
+    m_shared.guarantees.RecordNotRun(m_id);
   }
-  End(notRun ? CallEnd::Refused : CallEnd::Failed);
+  EndCall(notRun ? CallOutcome::Refused : CallOutcome::Failed);
 }
 
 void
 SoakCaller::OnFailed(http::ClientConnection&, http::ClientFailure)
 {
   DropConnection();
-  CheckPart();
-  End(CallEnd::Failed);
+  CheckStreamPrefix();
+  EndCall(CallOutcome::Failed);
 }
 
 void
@@ -193,7 +197,7 @@
 }
 
 void
-SoakCaller::End(CallEnd aEnd)
+SoakCaller::EndCall(CallOutcome aEnd)
 {
   if (!m_busy) {
     return;
@@ -206,8 +210,8 @@
     m_shared.bySecond.resize(second + 1);
   }
   m_shared.bySecond[second][static_cast<std::size_t>(aEnd)]++;
-  m_shared.ends[static_cast<std::size_t>(aEnd)]++;
-  m_nextAt = now + base::Duration(m_random() % kPauseMs);
+  m_shared.outcomes[static_cast<std::size_t>(aEnd)]++;
+  m_nextAt = now + base::Duration(m_random() % kMaxPauseMs);
 }
 
 }
--- a/src/soak/soakcaller.h
+++ b/src/soak/soakcaller.h
@@ -4,7 +4,7 @@
 #include "base/basetypes.h"
 #include "http/clientconnection.h"
 #include "metrics/latencyhistogram.h"
-#include "soak/promises.h"
+#include "soak/guarantees.h"
 
 #include <array>
 #include <memory>
@@ -18,31 +18,32 @@
 
 namespace hemlockgauge::soak {
 
-enum class CallEnd : std::uint8_t
+//! Outcome of a call.
+enum class CallOutcome : std::uint8_t
 {
   Served,
-  Refused, //!< told that it did not run
+  Refused, //!< reported as not run
   Failed
 };
-inline constexpr std::size_t kCallEnds = 3;
+inline constexpr std::size_t kCallOutcomes = 3;
 
-//! What all callers share and count.
+//! State and counters shared by all callers of a run.
 struct CallerShared
 {
   eventloop::EventLoop& loop;
-  Promises& promises;
+  GuaranteeChecker& guarantees;
   std::vector<base::Address> routers;
   std::string key;
-  std::string withdrawnKey; //!< the one before; empty: none
-  std::array<std::uint64_t, kCallEnds> ends{};
-  //! By second since the start: how calls ended.
-  std::vector<std::array<std::uint32_t, kCallEnds>> bySecond;
+  std::string revokedKey; //!< the revoked previous key; empty if none
+  std::array<std::uint64_t, kCallOutcomes> outcomes{};
+  //! Number of calls by second since the start and by outcome.
+  std::vector<std::array<std::uint32_t, kCallOutcomes>> bySecond;
   metrics::LatencyHistogram firstByteMs;
   base::TimePoint startedAt{};
 };
 
-//! One caller: one request after another, on a connection that it keeps as
-//! long as it can. It checks every answer byte by byte.
+//! A caller that sends one request after another on a keep-alive connection
+//! and checks every response byte by byte.
 class SoakCaller : public http::IClientEvents
 {
 public:
@@ -50,7 +51,7 @@
   ~SoakCaller() override;
 
   void Tick(base::TimePoint aNow);
-  //! Takes no new request any more.
+  //! Starts no further requests.
   void Stop() { m_stopped = true; }
   bool IsIdle() const { return !m_busy; }
 
@@ -65,10 +66,10 @@
   void OnIdleClosed(http::ClientConnection& aConnection) override;
 
 private:
-  void Begin(base::TimePoint aNow);
-  void End(CallEnd aEnd);
+  void StartCall(base::TimePoint aNow);
+  void EndCall(CallOutcome aEnd);
   void CheckSuccess();
-  void CheckPart();
+  void CheckStreamPrefix();
   std::string ExpectedBody() const;
   void DropConnection();
 
@@ -78,10 +79,10 @@
   std::unique_ptr<http::ClientConnection> m_connection;
   std::uint64_t m_count = 0;
   std::string m_id;
-  int m_events = 0; //!< of a stream; 0: a plain request
+  int m_events = 0; //!< events of the stream; 0 for a plain request
   int m_status = 0;
   std::string m_body;
-  base::TimePoint m_begunAt{};
+  base::TimePoint m_startedAt{};
   base::TimePoint m_nextAt{};
   bool m_busy = false;
   bool m_stopped = false;
--- a/src/soak/soakplan.cpp
+++ b/src/soak/soakplan.cpp
@@ -7,27 +7,28 @@
 
 namespace {
 
-constexpr auto kKinds = static_cast<std::uint32_t>(FaultKind::WithdrawKey) + 1;
-//! A new fault begins every so many ms, on average.
-constexpr std::uint32_t kMeanGapMs = 700;
-constexpr std::uint32_t kLongestMs = 3000;
-constexpr std::uint32_t kShortestMs = 200;
+constexpr auto kRandomFaultKinds =
+  static_cast<std::uint32_t>(FaultKind::RevokeKey) + 1;
+//! Mean interval between the starts of faults, in ms.
+constexpr std::uint32_t kMeanFaultIntervalMs = 700;
+constexpr std::uint32_t kFaultDurationSpreadMs = 3000;
+constexpr std::uint32_t kMinFaultDurationMs = 200;
 
-//! Sets the draws of restores apart: with them or without, a seed's other
-//! faults are the same.
-constexpr std::uint64_t kRestoreStream = 0x5e57;
+//! Seed offset of a separate random stream for restores, so that enabling
+//! restores does not change the other faults of a seed.
+constexpr std::uint64_t kRestoreSeedOffset = 0x5e57;
 
 void
 AddRestores(const SoakSettings& aSettings, std::vector<Fault>& aPlan)
 {
-  std::mt19937_64 random(aSettings.seed ^ kRestoreStream);
+  std::mt19937_64 random(aSettings.seed ^ kRestoreSeedOffset);
   const auto length = static_cast<std::uint64_t>(aSettings.length.count());
   for (std::uint32_t i = 0; i < aSettings.restores; ++i) {
     Fault fault;
     fault.kind = FaultKind::RestoreStore;
     fault.at = base::Duration(static_cast<std::int64_t>(random() % length));
-    fault.lasts =
-      base::Duration(static_cast<std::int64_t>(kShortestMs + random() % 1000));
+    fault.duration = base::Duration(
+      static_cast<std::int64_t>(kMinFaultDurationMs + random() % 1000));
     aPlan.push_back(fault);
   }
   std::stable_sort(
@@ -36,20 +37,21 @@
     });
 }
 
-constexpr std::uint64_t kZoneStream = 0x20e5;
-//! An evacuation that ends sooner shows nothing: its bound is seconds.
-constexpr std::uint32_t kEvacuationShortestMs = 4000;
+constexpr std::uint64_t kZoneFaultSeedOffset = 0x20e5;
+//! Evacuations take effect within seconds; a shorter one would test nothing.
+constexpr std::uint32_t kMinEvacuationMs = 4000;
 constexpr std::uint32_t kEvacuationSpreadMs = 9000;
 
-//! Half of them evacuations, half cold returns, in random order.
+//! Adds zone faults at random times: alternately evacuations and cold returns.
 void
 AddZoneFaults(const SoakSettings& aSettings, std::vector<Fault>& aPlan)
 {
-  std::mt19937_64 random(aSettings.seed ^ kZoneStream);
+  std::mt19937_64 random(aSettings.seed ^ kZoneFaultSeedOffset);
   const auto below = [&](std::uint64_t aBound) {
     return static_cast<std::uint32_t>(random() % aBound);
   };
-  //! NOTE they end before the quiet time, in which requests must be served.
+  // Evacuations end before the time without faults, in which requests must be
+  // served.
   const auto half = static_cast<std::uint64_t>(aSettings.length.count()) / 2;
   for (std::uint32_t i = 0; i < aSettings.zoneFaults; ++i) {
     Fault fault;
@@ -57,9 +59,9 @@
     fault.kind = i % 2 == 0 ? FaultKind::EvacuateZone : FaultKind::ColdReturn;
     if (fault.kind == FaultKind::EvacuateZone) {
       fault.target = below(kSoakZones);
-      fault.lasts = std::min(
-        base::Duration(kEvacuationShortestMs + below(kEvacuationSpreadMs)),
-        aSettings.length - fault.at);
+      fault.duration =
+        std::min(base::Duration(kMinEvacuationMs + below(kEvacuationSpreadMs)),
+                 aSettings.length - fault.at);
     } else {
       fault.target = below(aSettings.upstreams);
     }
@@ -72,7 +74,7 @@
 }
 
 bool
-HitsRouter(FaultKind aKind)
+TargetsRouter(FaultKind aKind)
 {
   return aKind <= FaultKind::ReloadRouter;
 }
@@ -91,12 +93,13 @@
   while (at < aSettings.length) {
     Fault fault;
     fault.at = at;
-    fault.kind = static_cast<FaultKind>(below(kKinds));
-    fault.lasts = base::Duration(kShortestMs + below(kLongestMs));
-    fault.target =
-      below(HitsRouter(fault.kind) ? aSettings.routers : aSettings.upstreams);
+    fault.kind = static_cast<FaultKind>(below(kRandomFaultKinds));
+    fault.duration =
+      base::Duration(kMinFaultDurationMs + below(kFaultDurationSpreadMs));
+    fault.target = below(TargetsRouter(fault.kind) ? aSettings.routers
+                                                   : aSettings.upstreams);
     plan.push_back(fault);
-    at += base::Duration(1 + below(2 * kMeanGapMs));
+    at += base::Duration(1 + below(2 * kMeanFaultIntervalMs));
   }
   AddRestores(aSettings, plan);
   AddZoneFaults(aSettings, plan);
--- a/src/soak/soakplan.h
+++ b/src/soak/soakplan.h
@@ -12,11 +12,11 @@
 {
   KillRouter,
   PauseRouter,
-  StopRouter, //!< SIGTERM, and a new process after its end
+  StopRouter, //!< SIGTERM; a new process starts after the exit
   ReloadRouter,
   ResetUpstream,
-  SilenceUpstream,   //!< connections stay open and nothing passes
-  CutUpstreamOneWay, //!< what the upstream sends is lost
+  SilenceUpstream,   //!< connections stay open, no bytes pass
+  CutUpstreamOneWay, //!< bytes sent by the upstream are dropped
   DelayUpstream,
   DrainUpstream,
   RemoveUpstream,
@@ -25,10 +25,10 @@
   StoreForgets,
   ResetStore,
   ChangeConfig,
-  WithdrawKey,
-  RestoreStore, //!< it comes back from a copy; what was lost is written again
+  RevokeKey,
+  RestoreStore, //!< restores an older copy; lost writes are repeated later
   EvacuateZone,
-  ColdReturn //!< an upstream is replaced by one that starts cold
+  ColdReturn //!< replaces an upstream by one that starts cold
 };
 inline constexpr auto kFaultKindNames =
   base::MakeEnumNames<FaultKind>("kill-router",
@@ -55,10 +55,10 @@
 
 struct Fault
 {
-  base::Duration at{};    //!< since the start of traffic
-  base::Duration lasts{}; //!< 0: it is over at once
+  base::Duration at{};       //!< time since the start of traffic
+  base::Duration duration{}; //!< 0: the fault has no duration
   FaultKind kind = FaultKind::KillRouter;
-  std::uint32_t target = 0; //!< router, upstream or zone
+  std::uint32_t target = 0; //!< index of the router, upstream or zone
 };
 
 struct SoakSettings
@@ -67,15 +67,18 @@
   std::uint32_t routers = 3;
   std::uint32_t upstreams = 5;
   std::uint32_t callers = 12;
-  std::uint32_t restores = 0; //!< of the store, besides the other faults
-  //! Evacuations and cold upstreams, besides the other faults. With any,
-  //! upstreams stand in kSoakZones zones.
+  std::uint32_t restores =
+    0; //!< restores of the store, added to the other faults
+  //! Evacuations and cold upstreams, added to the other faults. Above 0,
+  //! upstreams are spread over kSoakZones zones.
   std::uint32_t zoneFaults = 0;
-  base::Duration length{ 20000 }; //!< of the faults; quiet time follows
+  base::Duration length{
+    20000
+  }; //!< fault injection time; a time without faults follows
 };
 
-//! What is injected when: the same seed gives the same plan. Faults come in
-//! series and overlap.
+//! Generates the faults of a run, ordered by start time. The same settings and
+//! seed give the same plan. Faults may overlap.
 std::vector<Fault>
 MakePlan(const SoakSettings& aSettings);
 
--- a/src/soak/soakrun.cpp
+++ b/src/soak/soakrun.cpp
@@ -16,42 +16,44 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kTick = 5ms;
-//! Between the copies of the store that it may come back from.
-constexpr base::Duration kCopyPeriod = 2000ms;
-//! From the store's return until what it lost is written again.
+constexpr base::Duration kTickInterval = 5ms;
+//! Interval between copies of the store, which a restore returns to.
+constexpr base::Duration kCopyInterval = 2000ms;
+//! Time from the end of a store restore until the lost writes are repeated.
 constexpr base::Duration kRewriteDelay = 700ms;
-constexpr base::Duration kRestartAfter = 300ms;
+constexpr base::Duration kRestartDelay = 300ms;
 constexpr base::Duration kColdFor = 3000ms;
-//! What a cold upstream bears in a second, as the configuration says.
+//! Configured maximum number of requests per second to a cold upstream.
 constexpr int kColdPerSecond = 4;
-//! Bounds of the promises, with what a busy test machine adds.
+//! Time bounds of the guarantees, including delays of a busy test machine.
 constexpr base::Duration kLeavingBound = 6000ms;
 constexpr base::Duration kRevocationBound = 5000ms;
 constexpr base::Duration kMachineSlack = 1500ms;
-constexpr base::Duration kCalm = 3000ms;
-constexpr base::Duration kGrace = 8000ms;
-//! After the last fault: what may still settle, and the time looked at.
-constexpr base::Duration kSettle = 7000ms;
-constexpr base::Duration kQuiet = 4000ms;
-constexpr double kServedWhenQuiet = 0.8;
-//! One request in so many is spoiled by its upstream.
-constexpr std::uint64_t kSpoilOneIn = 25;
-constexpr int kRouterNet = 10;
-//! Of an upstream that crashed: until its entry lapses, and until another one
-//! takes its place.
-constexpr base::Duration kUntilLapse = 2400ms;
-constexpr base::Duration kUntilReplaced = 1000ms;
-//! What a request may do that crashes upstreams: so many crash under it, so
-//! many more times it reaches one later than routers need to hear of that.
-constexpr std::size_t kCrashesFirst = 3;
-constexpr std::size_t kRunsAfter = 3;
-constexpr base::Duration kHeardOfCrash = 3000ms;
+constexpr base::Duration kCalmTime = 3000ms;
+constexpr base::Duration kGracePeriod = 8000ms;
+//! After the fault time: first the time to recover, then the time in which the
+//! ratio of served requests is checked.
+constexpr base::Duration kRecoveryTime = 7000ms;
+constexpr base::Duration kRecoveryCheckTime = 4000ms;
+constexpr double kMinServedRatio = 0.8;
+//! An upstream misbehaves on one in this many requests.
+constexpr std::uint64_t kMisbehaveOneIn = 25;
+constexpr int kFirstRouterHostNumber = 10;
+//! Times from an upstream's crash until its entry in the store expires, and
+//! until another upstream replaces it.
+constexpr base::Duration kEntryExpiryDelay = 2400ms;
+constexpr base::Duration kReplacementDelay = 1000ms;
+//! Limits for a request that crashes upstreams. kMaxCrashes crashes are
+//! allowed until routers quarantine it; after the time that routers need to
+//! learn of them, at most kMaxLateRuns more runs are allowed.
+constexpr std::size_t kMaxCrashes = 3;
+constexpr std::size_t kMaxLateRuns = 3;
+constexpr base::Duration kCrashPropagationTime = 3000ms;
 
 std::string
 RouterIp(std::uint32_t aRouter)
 {
-  return "127.0.1." + std::to_string(kRouterNet + aRouter);
+  return "127.0.1." + std::to_string(kFirstRouterHostNumber + aRouter);
 }
 
 }
@@ -64,11 +66,12 @@
   , m_directory(aDirectory)
   , m_port(aPort)
   , m_plan(MakePlan(aSettings))
-  , m_store(m_loop, At(10))
-  , m_shared{ m_loop, m_promises, {}, "", "", {}, {}, {}, {} }
+  , m_store(m_loop, LocalAddress(10))
+  , m_shared{ m_loop, m_guarantees, {}, "", "", {}, {}, {}, {} }
   , m_crashingCaller(m_shared)
 {
-  m_storeProxy = std::make_unique<ChaosProxy>(m_loop, At(11), At(10));
+  m_storeProxy =
+    std::make_unique<ChaosProxy>(m_loop, LocalAddress(11), LocalAddress(10));
   for (std::uint32_t i = 0; i < aSettings.upstreams; ++i) {
     AddUpstream(i);
   }
@@ -92,7 +95,7 @@
 SoakRun::~SoakRun() = default;
 
 base::Address
-SoakRun::At(int aOffset) const
+SoakRun::LocalAddress(int aOffset) const
 {
   return { "127.0.0.1", static_cast<std::uint16_t>(m_port + aOffset) };
 }
@@ -115,35 +118,35 @@
                       m_port + 1,
                       m_port + 2,
                       m_port + 3,
-                      kGrace.count(),
-                      At(11).Text(),
+                      kGracePeriod.count(),
+                      LocalAddress(11).Text(),
                       kRevocationBound.count(),
                       RouterIp(0),
                       RouterIp(1));
 }
 
 void
-SoakRun::Write(std::function<void()> aWrite)
+SoakRun::WriteToStore(std::function<void()> aWrite)
 {
   aWrite();
-  m_written.push_back(std::move(aWrite));
+  m_writesSinceCopy.push_back(std::move(aWrite));
 }
 
-//! Copies are taken now and then; what a restore lost is written again a
-//! little after it, oldest first.
+//! Copies the store every kCopyInterval. After a restore, repeats the lost
+//! writes in their original order when m_rewriteAt is reached.
 void
-SoakRun::FollowCopies(base::TimePoint aNow)
+SoakRun::UpdateStoreCopies(base::TimePoint aNow)
 {
   if (m_rewriteAt && aNow >= *m_rewriteAt) {
     m_rewriteAt.reset();
-    for (const auto& write : m_written) {
+    for (const auto& write : m_writesSinceCopy) {
       write();
     }
   }
-  if (!m_rewriteAt && aNow - m_copiedAt > kCopyPeriod) {
+  if (!m_rewriteAt && aNow - m_copiedAt > kCopyInterval) {
     m_copiedAt = aNow;
     m_store.TakeCopy();
-    m_written.clear();
+    m_writesSinceCopy.clear();
   }
 }
 
@@ -166,8 +169,8 @@
                        aResumable ? "true" : "false",
                        aName == std::string("crash") ? "true" : "false");
   };
-  // The workspace's name carries the number of the key: a run shows which
-  // key let it in.
+  // The workspace's name contains the number of its key, so a request at an
+  // upstream shows which key admitted it.
   m_shared.key = fmt::format("key-{}", m_keyNumber);
   const auto text =
     fmt::format(R"({{"version":{},"routes":[{},{},{},{},{}],"services":[)"
@@ -186,7 +189,7 @@
                 kColdPerSecond,
                 m_keyNumber,
                 m_shared.key);
-  Write([this, text] { m_store.PutConfig(text); });
+  WriteToStore([this, text] { m_store.PutConfig(text); });
 }
 
 void
@@ -203,48 +206,52 @@
   settings.slots = 16;
   settings.workTime = 8ms;
   const int slot = static_cast<int>(m_upstreams.size());
-  settings.listen = At(20 + slot);
+  settings.listen = LocalAddress(20 + slot);
   upstream->worker =
     std::make_unique<standins::WorkerStandin>(m_loop, settings);
-  upstream->proxy =
-    std::make_unique<ChaosProxy>(m_loop, At(60 + slot), At(20 + slot));
+  upstream->proxy = std::make_unique<ChaosProxy>(
+    m_loop, LocalAddress(60 + slot), LocalAddress(20 + slot));
   auto& kept = *upstream;
   kept.worker->SetJudge([this](const standins::WorkerRun& aRun) {
-    if (CrashingCaller::IsRunOf(aRun.target)) {
-      return HasRoom() ? Misbehaviour::Crash : Misbehaviour::CloseUnanswered;
+    if (CrashingCaller::IsCrashingRequest(aRun.target)) {
+      return HasFreePorts() ? Misbehaviour::Crash
+                            : Misbehaviour::CloseUnanswered;
     }
     const auto draw =
       base::HashName(aRun.requestId + aRun.lastEventId) + m_settings.seed;
-    if (draw % kSpoilOneIn != 0) {
+    if (draw % kMisbehaveOneIn != 0) {
       return Misbehaviour::None;
     }
-    return static_cast<Misbehaviour>(1 + draw / kSpoilOneIn % 10);
+    return static_cast<Misbehaviour>(1 + draw / kMisbehaveOneIn % 10);
   });
-  //! NOTE its address ends with it: for a while longer the proxy alone would
-  //! take connections, which no process that has ended does.
+  // After a crash the proxy must stop listening too: otherwise it would accept
+  // connections to a process that has ended.
   kept.worker->SetOnCrash([&kept] { kept.proxy->Close(); });
   kept.worker->SetObserver(
     [this, &kept](const standins::WorkerRun& aRun) { OnRun(kept, aRun); });
   if (aColdFor > 0ms) {
     m_warmAt[kept.id] = m_loop.Now() + aColdFor;
-    m_zones.TurnedCold(kept.id, m_warmAt[kept.id]);
+    m_zoneChecks.TurnedCold(kept.id, m_warmAt[kept.id]);
   }
-  List(kept, false, aColdFor);
+  PutEntry(kept, false, aColdFor);
   m_upstreams.push_back(std::move(upstream));
 }
 
 void
-SoakRun::List(const Upstream& aUpstream,
-              bool aDraining,
-              base::Duration aColdFor)
+SoakRun::PutEntry(const Upstream& aUpstream,
+                  bool aDraining,
+                  base::Duration aColdFor)
 {
   const bool engine = aUpstream.index % 2 == 0;
   const int slot = std::stoi(aUpstream.id.substr(aUpstream.id.rfind('-') + 1));
-  const standins::StoredEntry entry{
-    engine ? "engine" : "plain",      At(60 + slot), aUpstream.zone, 16,
-    aDraining ? "draining" : "ready", aColdFor
-  };
-  Write([this, id = aUpstream.id, entry] { m_store.PutUpstream(id, entry); });
+  const standins::StoredEntry entry{ engine ? "engine" : "plain",
+                                     LocalAddress(60 + slot),
+                                     aUpstream.zone,
+                                     16,
+                                     aDraining ? "draining" : "ready",
+                                     aColdFor };
+  WriteToStore(
+    [this, id = aUpstream.id, entry] { m_store.PutUpstream(id, entry); });
 }
 
 void
@@ -253,30 +260,33 @@
   if (aRun.ended) {
     return;
   }
-  if (CrashingCaller::IsRunOf(aRun.target)) {
+  if (CrashingCaller::IsCrashingRequest(aRun.target)) {
     OnCrashingRun();
     return;
   }
   const bool mayRunAgain = aRun.requestId.starts_with("safe") ||
                            aRun.requestId.starts_with("resumable");
-  m_promises.Ran(aRun.requestId, mayRunAgain, !aRun.lastEventId.empty());
-  m_promises.Check(Promise::OwnWorkspace,
-                   aRun.workspace.starts_with("w-") && !aRun.sawKey &&
-                     !aRun.sawOwnField,
-                   aRun.requestId + " came with foreign fields");
+  m_guarantees.RecordRun(
+    aRun.requestId, mayRunAgain, !aRun.lastEventId.empty());
+  m_guarantees.Check(
+    Guarantee::CorrectWorkspace,
+    aRun.workspace.starts_with("w-") && !aRun.sawKey && !aRun.sawOwnField,
+    aRun.requestId +
+      " reached its upstream with another workspace or with its key");
   const auto now = m_loop.Now();
-  m_zones.Ran(aUpstream.id, aUpstream.zone, aRun.requestId, now);
+  m_zoneChecks.RecordRun(aUpstream.id, aUpstream.zone, aRun.requestId, now);
   if (aUpstream.leftAt > base::TimePoint{}) {
-    m_promises.Check(Promise::NothingToLeaving,
-                     now - aUpstream.leftAt < kLeavingBound,
-                     aRun.requestId + " reached " + aUpstream.id +
-                       " long after it left");
-  }
-  const auto withdrawn = m_withdrawnAt.find(aRun.workspace);
-  if (withdrawn != m_withdrawnAt.end()) {
-    m_promises.Check(Promise::WithdrawnKeyStops,
-                     now - withdrawn->second < kRevocationBound + kMachineSlack,
-                     aRun.requestId + " ran for " + aRun.workspace);
+    m_guarantees.Check(Guarantee::NoWorkForLeaving,
+                       now - aUpstream.leftAt < kLeavingBound,
+                       aRun.requestId + " reached " + aUpstream.id +
+                         " too long after the upstream left");
+  }
+  const auto withdrawn = m_revokedAt.find(aRun.workspace);
+  if (withdrawn != m_revokedAt.end()) {
+    m_guarantees.Check(Guarantee::RevokedKeyRejected,
+                       now - withdrawn->second <
+                         kRevocationBound + kMachineSlack,
+                       aRun.requestId + " ran for " + aRun.workspace);
   }
 }
 
@@ -285,25 +295,26 @@
 {
   const auto now = m_loop.Now();
   m_crashingRuns.push_back(now);
-  if (m_crashingRuns.size() <= kCrashesFirst) {
+  if (m_crashingRuns.size() <= kMaxCrashes) {
     return;
   }
   const auto limit =
-    m_crashingRuns[kCrashesFirst - 1] + kHeardOfCrash + kMachineSlack;
+    m_crashingRuns[kMaxCrashes - 1] + kCrashPropagationTime + kMachineSlack;
   const auto late = static_cast<std::size_t>(std::count_if(
     m_crashingRuns.begin(), m_crashingRuns.end(), [&](base::TimePoint aAt) {
       return aAt > limit;
     }));
-  m_promises.Check(Promise::CrashingStops,
-                   late <= kRunsAfter,
-                   fmt::format("{} runs long after the third crash, {} in all",
-                               late,
-                               m_crashingRuns.size()));
+  m_guarantees.Check(
+    Guarantee::CrashingRequestStops,
+    late <= kMaxLateRuns,
+    fmt::format("{} runs too long after the third crash, {} runs in total",
+                late,
+                m_crashingRuns.size()));
 }
 
-//! Its entry lapses, and another one starts.
+//! Removes a crashed upstream's entry and starts a replacement when due.
 void
-SoakRun::FollowCrash(std::size_t aUpstream, base::TimePoint aNow)
+SoakRun::HandleCrash(std::size_t aUpstream, base::TimePoint aNow)
 {
   auto& upstream = *m_upstreams[aUpstream];
   if (!upstream.worker->HasCrashed()) {
@@ -312,31 +323,31 @@
   if (upstream.crashedAt == base::TimePoint{}) {
     upstream.crashedAt = aNow;
   }
-  const auto past = aNow - upstream.crashedAt;
+  const auto timeSinceCrash = aNow - upstream.crashedAt;
   const bool wasListed = upstream.leftAt == base::TimePoint{};
-  if (wasListed && past > kUntilLapse) {
+  if (wasListed && timeSinceCrash > kEntryExpiryDelay) {
     upstream.leftAt = aNow;
-    Write([this, id = upstream.id] { m_store.RemoveUpstream(id); });
+    WriteToStore([this, id = upstream.id] { m_store.RemoveUpstream(id); });
   }
-  if (!upstream.replaced && past > kUntilReplaced) {
+  if (!upstream.replaced && timeSinceCrash > kReplacementDelay) {
     upstream.replaced = true;
     AddUpstream(upstream.index);
   }
 }
 
 void
-SoakRun::FollowCrashes(base::TimePoint aNow)
+SoakRun::HandleCrashes(base::TimePoint aNow)
 {
   const auto count = m_upstreams.size();
   for (std::size_t i = 0; i < count; ++i) {
-    FollowCrash(i, aNow);
+    HandleCrash(i, aNow);
   }
 }
 
 bool
 SoakRun::IsCalm() const
 {
-  return m_running.empty() && m_loop.Now() - m_lastFaultAt > kCalm;
+  return m_activeFaults.empty() && m_loop.Now() - m_lastFaultAt > kCalmTime;
 }
 
 void
@@ -345,7 +356,7 @@
   auto& router = m_routers[aFault.target];
   switch (aFault.kind) {
     case FaultKind::KillRouter:
-      router.calmStop = false; // a stop that it cuts short is none
+      router.calmStop = false; // the kill ends a planned stop early
       router.process->Signal(SIGKILL);
       return;
     case FaultKind::PauseRouter:
@@ -365,16 +376,16 @@
 void
 SoakRun::BeginUpstreamFault(const Fault& aFault)
 {
-  // The newest life of this upstream.
+  // The last match is the newest upstream with this index.
   Upstream* upstream = nullptr;
   for (const auto& one : m_upstreams) {
     if (one->index == aFault.target) {
       upstream = one.get();
     }
   }
-  const bool leaves = aFault.kind == FaultKind::DrainUpstream ||
-                      aFault.kind == FaultKind::RemoveUpstream;
-  if (leaves && !HasRoom()) {
+  const bool isRemoval = aFault.kind == FaultKind::DrainUpstream ||
+                         aFault.kind == FaultKind::RemoveUpstream;
+  if (isRemoval && !HasFreePorts()) {
     return;
   }
   switch (aFault.kind) {
@@ -396,9 +407,9 @@
   AddUpstream(aFault.target);
   upstream->leftAt = m_loop.Now();
   if (aFault.kind == FaultKind::DrainUpstream) {
-    List(*upstream, true);
+    PutEntry(*upstream, true);
   } else {
-    Write([this, id = upstream->id] { m_store.RemoveUpstream(id); });
+    WriteToStore([this, id = upstream->id] { m_store.RemoveUpstream(id); });
   }
 }
 
@@ -421,12 +432,12 @@
     case FaultKind::RestoreStore:
       m_store.faults.mute = true;
       m_store.Restore();
-      m_rewriteAt = m_loop.Now() + aFault.lasts + kRewriteDelay;
+      m_rewriteAt = m_loop.Now() + aFault.duration + kRewriteDelay;
       return;
-    case FaultKind::WithdrawKey:
-      m_withdrawnAt[fmt::format("w-{}", m_keyNumber)] = m_loop.Now();
+    case FaultKind::RevokeKey:
+      m_revokedAt[fmt::format("w-{}", m_keyNumber)] = m_loop.Now();
       m_keyNumber++;
-      m_shared.withdrawnKey = m_shared.key;
+      m_shared.revokedKey = m_shared.key;
       PutConfig();
       return;
     default:
@@ -435,9 +446,9 @@
   }
 }
 
-//! An upstream that is warm again says so in its entry.
+//! Updates the entries of upstreams whose cold time has ended.
 void
-SoakRun::FollowCold(base::TimePoint aNow)
+SoakRun::UpdateWarmUpstreams(base::TimePoint aNow)
 {
   for (const auto& upstream : m_upstreams) {
     const auto found = m_warmAt.find(upstream->id);
@@ -446,7 +457,7 @@
     }
     m_warmAt.erase(found);
     if (upstream->leftAt == base::TimePoint{}) {
-      List(*upstream, false);
+      PutEntry(*upstream, false);
     }
   }
 }
@@ -463,11 +474,11 @@
   }
   const auto zone = fmt::format("z{}", aZone);
   if (after) {
-    m_zones.Evacuated(zone, m_loop.Now());
-    Write([this, zone] { m_store.Evacuate(zone); });
+    m_zoneChecks.Evacuated(zone, m_loop.Now());
+    WriteToStore([this, zone] { m_store.Evacuate(zone); });
   } else {
-    m_zones.Restored(zone);
-    Write([this, zone] { m_store.EndEvacuation(zone); });
+    m_zoneChecks.Restored(zone);
+    WriteToStore([this, zone] { m_store.EndEvacuation(zone); });
   }
 }
 
@@ -478,22 +489,22 @@
     SetEvacuated(aFault.target, true);
     return;
   }
-  if (!HasRoom()) {
+  if (!HasFreePorts()) {
     return;
   }
   for (const auto& one : m_upstreams) {
-    const bool leaves =
+    const bool isRemoval =
       one->index == aFault.target && one->leftAt == base::TimePoint{};
-    if (leaves) {
+    if (isRemoval) {
       one->leftAt = m_loop.Now();
-      Write([this, id = one->id] { m_store.RemoveUpstream(id); });
+      WriteToStore([this, id = one->id] { m_store.RemoveUpstream(id); });
     }
   }
   AddUpstream(aFault.target, kColdFor);
 }
 
 void
-SoakRun::Begin(const Fault& aFault)
+SoakRun::BeginFault(const Fault& aFault)
 {
   if (aFault.kind >= FaultKind::EvacuateZone) {
     BeginZoneFault(aFault);
@@ -543,19 +554,20 @@
 }
 
 void
-SoakRun::ReviveRouters(base::TimePoint aNow)
+SoakRun::RestartRouters(base::TimePoint aNow)
 {
   for (std::size_t i = 0; i < m_routers.size(); ++i) {
     auto& router = m_routers[i];
     int exit = 0;
     if (router.process->HasEnded(exit)) {
       if (router.stopping && router.calmStop) {
-        m_promises.Check(Promise::GracefulStopCuts,
-                         exit == 0,
-                         fmt::format("r{} ended with {}", i, exit));
+        m_guarantees.Check(
+          Guarantee::GracefulStop,
+          exit == 0,
+          fmt::format("r{} stopped with exit status {}", i, exit));
       }
       router.stopping = false;
-      router.startAt = aNow + kRestartAfter;
+      router.startAt = aNow + kRestartDelay;
     }
     if (router.startAt > base::TimePoint{} && aNow >= router.startAt) {
       router.startAt = {};
@@ -571,11 +583,11 @@
   while (m_nextFault < m_plan.size() &&
          now - m_shared.startedAt >= m_plan[m_nextFault].at) {
     const auto& fault = m_plan[m_nextFault++];
-    Begin(fault);
+    BeginFault(fault);
     m_lastFaultAt = now;
-    m_running.emplace_back(now + fault.lasts, fault);
+    m_activeFaults.emplace_back(now + fault.duration, fault);
   }
-  std::erase_if(m_running, [&](const auto& aOne) {
+  std::erase_if(m_activeFaults, [&](const auto& aOne) {
     const bool over = now >= aOne.first;
     if (over) {
       EndFault(aOne.second);
@@ -583,10 +595,10 @@
     }
     return over;
   });
-  FollowCopies(now);
-  ReviveRouters(now);
-  FollowCrashes(now);
-  FollowCold(now);
+  UpdateStoreCopies(now);
+  RestartRouters(now);
+  HandleCrashes(now);
+  UpdateWarmUpstreams(now);
   m_crashingCaller.Tick(now);
   m_storeProxy->Tick(now);
   for (const auto& upstream : m_upstreams) {
@@ -611,43 +623,48 @@
   for (auto& router : m_routers) {
     router.process->Start();
   }
-  RunUntil(m_loop.Now() + 1500ms); // the routers find each other
+  RunUntil(m_loop.Now() +
+           1500ms); // time for the routers to discover each other
   m_shared.startedAt = m_loop.Now();
-  m_loop.Subscribe(kTick, [this] { Tick(); });
-  RunUntil(m_shared.startedAt + m_settings.length + kSettle);
-  const auto before = m_shared.ends;
-  RunUntil(m_loop.Now() + kQuiet);
+  m_loop.Subscribe(kTickInterval, [this] { Tick(); });
+  RunUntil(m_shared.startedAt + m_settings.length + kRecoveryTime);
+  const auto before = m_shared.outcomes;
+  RunUntil(m_loop.Now() + kRecoveryCheckTime);
   double served = 0;
   double all = 0;
-  for (std::size_t i = 0; i < kCallEnds; ++i) {
-    const auto ended = static_cast<double>(m_shared.ends[i] - before[i]);
+  for (std::size_t i = 0; i < kCallOutcomes; ++i) {
+    const auto ended = static_cast<double>(m_shared.outcomes[i] - before[i]);
     all += ended;
-    served += i == static_cast<std::size_t>(CallEnd::Served) ? ended : 0.0;
-  }
-  m_promises.Check(Promise::Recovery,
-                   all > 0 && served >= kServedWhenQuiet * all,
-                   fmt::format("{:.0f} of {:.0f} served", served, all));
-  StopOneInQuiet();
+    served += i == static_cast<std::size_t>(CallOutcome::Served) ? ended : 0.0;
+  }
+  m_guarantees.Check(
+    Guarantee::Recovery,
+    all > 0 && served >= kMinServedRatio * all,
+    fmt::format(
+      "{:.0f} of {:.0f} requests served after the faults", served, all));
+  CheckGracefulStop();
   for (const auto& caller : m_callers) {
     caller->Stop();
   }
   RunUntil(m_loop.Now() + 1000ms);
-  m_promises.Finish();
-  return m_promises.Broken().empty();
+  m_guarantees.Finish();
+  return m_guarantees.Violations().empty();
 }
 
-//! Faults come in series, so few planned stops among them are calm.
+//! Stops one router without recent faults, because few of the planned stops
+//! happen far enough from other faults to check GracefulStop.
 void
-SoakRun::StopOneInQuiet()
+SoakRun::CheckGracefulStop()
 {
   auto& router = m_routers.front();
   BeginRouterFault({ {}, {}, FaultKind::StopRouter, 0 });
-  const auto limit = m_loop.Now() + kGrace + kMachineSlack;
+  const auto limit = m_loop.Now() + kGracePeriod + kMachineSlack;
   while (router.stopping && m_loop.Now() < limit) {
     m_loop.RunOnce();
   }
-  m_promises.Check(
-    Promise::GracefulStopCuts, !router.stopping, "r0 did not end in its grace");
+  m_guarantees.Check(Guarantee::GracefulStop,
+                     !router.stopping,
+                     "r0 did not stop within its grace period");
 }
 
 std::string
@@ -659,38 +676,38 @@
                           m_settings.routers,
                           m_settings.upstreams,
                           m_settings.callers,
-                          m_shared.ends[0],
-                          m_shared.ends[1],
-                          m_shared.ends[2]);
+                          m_shared.outcomes[0],
+                          m_shared.outcomes[1],
+                          m_shared.outcomes[2]);
   text += fmt::format("first byte ms p50={:.1f} p95={:.1f} p99={:.1f}\n",
                       m_shared.firstByteMs.Quantile(0.5),
                       m_shared.firstByteMs.Quantile(0.95),
                       m_shared.firstByteMs.Quantile(0.99));
-  for (std::size_t i = 0; i < kPromises; ++i) {
-    const auto promise = static_cast<Promise>(i);
-    text += fmt::format("promise {:<28} checked {}\n",
-                        kPromiseNames.NameOf(promise),
-                        m_promises.Checked(promise));
+  for (std::size_t i = 0; i < kGuaranteeCount; ++i) {
+    const auto guarantee = static_cast<Guarantee>(i);
+    text += fmt::format("guarantee {:<28} checked {}\n",
+                        kGuaranteeNames.NameOf(guarantee),
+                        m_guarantees.CheckCount(guarantee));
   }
-  for (const auto& broken : m_promises.Broken()) {
-    text += "BROKEN " + broken + "\n";
+  for (const auto& violation : m_guarantees.Violations()) {
+    text += "BROKEN " + violation + "\n";
   }
   text += "second served refused failed faults\n";
   for (std::size_t s = 0; s < m_shared.bySecond.size(); ++s) {
-    const auto& ends = m_shared.bySecond[s];
-    text +=
-      fmt::format("{:>6} {:>6} {:>7} {:>6} {:<20}",
-                  s,
-                  ends[0],
-                  ends[1],
-                  ends[2],
-                  std::string(std::min<std::size_t>(ends[0] / 10, 20), '#'));
+    const auto& outcomes = m_shared.bySecond[s];
+    text += fmt::format(
+      "{:>6} {:>6} {:>7} {:>6} {:<20}",
+      s,
+      outcomes[0],
+      outcomes[1],
+      outcomes[2],
+      std::string(std::min<std::size_t>(outcomes[0] / 10, 20), '#'));
     for (const auto& fault : m_plan) {
       if (static_cast<std::size_t>(fault.at.count() / 1000) == s) {
         text += fmt::format(" {}({},{} ms)",
                             kFaultKindNames.NameOf(fault.kind),
                             fault.target,
-                            fault.lasts.count());
+                            fault.duration.count());
       }
     }
     text += "\n";
--- a/src/soak/soakrun.h
+++ b/src/soak/soakrun.h
@@ -3,11 +3,11 @@
 #include "eventloop/eventloop.h"
 #include "soak/chaosproxy.h"
 #include "soak/crashingcaller.h"
-#include "soak/promises.h"
+#include "soak/guarantees.h"
 #include "soak/routerprocess.h"
 #include "soak/soakcaller.h"
 #include "soak/soakplan.h"
-#include "soak/zonewatch.h"
+#include "soak/zonechecker.h"
 #include "standins/storestandin.h"
 #include "standins/workerstandin.h"
 
@@ -21,8 +21,9 @@
 
 namespace hemlockgauge::soak {
 
-//! One seeded run: real routers as processes, stand-ins of store and
-//! upstreams behind proxies, callers, faults, and the promises watched.
+//! One seeded soak run: real routers in child processes, stand-ins for the
+//! store and the upstreams behind fault-injecting proxies, callers, and checks
+//! of the guarantees.
 class SoakRun
 {
 public:
@@ -33,13 +34,15 @@
           std::uint16_t aPort);
   ~SoakRun();
 
-  //! Returns whether all promises held.
+  //! Runs the whole plan; returns whether no guarantee was violated.
   bool Run();
-  //! For a person: plan, promises, latencies, a plot by seconds.
+  //! Readable report: settings, latencies, guarantees and, by second, outcomes
+  //! and faults.
   std::string Report() const;
 
 private:
-  static constexpr std::size_t kMostUpstreams = 36; //!< ports there are
+  static constexpr std::size_t kMaxUpstreams =
+    36; //!< as many ports are reserved
 
   struct Upstream
   {
@@ -48,55 +51,55 @@
     std::string zone;
     std::unique_ptr<standins::WorkerStandin> worker;
     std::unique_ptr<ChaosProxy> proxy;
-    base::TimePoint leftAt{};    //!< 0: listed
-    base::TimePoint crashedAt{}; //!< 0: it runs
-    bool replaced = false;       //!< after a crash
+    base::TimePoint leftAt{};    //!< 0: ready in the store
+    base::TimePoint crashedAt{}; //!< 0: has not crashed
+    bool replaced = false; //!< another upstream was started after the crash
   };
 
   struct Router
   {
     std::unique_ptr<RouterProcess> process;
-    base::TimePoint startAt{}; //!< 0: it runs
+    base::TimePoint startAt{}; //!< time of the next start; 0 if none is due
     bool stopping = false;
-    bool calmStop = false; //!< no fault lately when it was told to stop
+    bool calmStop = false; //!< no recent fault when the stop was requested
   };
 
-  base::Address At(int aOffset) const;
+  base::Address LocalAddress(int aOffset) const;
   void WriteSettings(std::uint32_t aRouter);
   void AddUpstream(std::uint32_t aIndex, base::Duration aColdFor = {});
-  void List(const Upstream& aUpstream,
-            bool aDraining,
-            base::Duration aColdFor = {});
-  void FollowCold(base::TimePoint aNow);
+  void PutEntry(const Upstream& aUpstream,
+                bool aDraining,
+                base::Duration aColdFor = {});
+  void UpdateWarmUpstreams(base::TimePoint aNow);
   void BeginZoneFault(const Fault& aFault);
   void SetEvacuated(std::uint32_t aZone, bool aEvacuated);
-  void Write(std::function<void()> aWrite);
-  void FollowCopies(base::TimePoint aNow);
+  void WriteToStore(std::function<void()> aWrite);
+  void UpdateStoreCopies(base::TimePoint aNow);
   void PutConfig();
   void Tick();
-  void Begin(const Fault& aFault);
+  void BeginFault(const Fault& aFault);
   void EndFault(const Fault& aFault);
   void BeginRouterFault(const Fault& aFault);
   void BeginUpstreamFault(const Fault& aFault);
   void BeginStoreFault(const Fault& aFault);
-  void ReviveRouters(base::TimePoint aNow);
-  bool HasRoom() const { return m_upstreams.size() < kMostUpstreams; }
+  void RestartRouters(base::TimePoint aNow);
+  bool HasFreePorts() const { return m_upstreams.size() < kMaxUpstreams; }
   void OnCrashingRun();
-  void FollowCrashes(base::TimePoint aNow);
-  void FollowCrash(std::size_t aUpstream, base::TimePoint aNow);
+  void HandleCrashes(base::TimePoint aNow);
+  void HandleCrash(std::size_t aUpstream, base::TimePoint aNow);
   void OnRun(const Upstream& aUpstream, const standins::WorkerRun& aRun);
   void RunUntil(base::TimePoint aUntil);
-  void StopOneInQuiet();
+  void CheckGracefulStop();
   bool IsCalm() const;
 
   SoakSettings m_settings;
   std::string m_directory;
   std::uint16_t m_port;
   eventloop::EventLoop m_loop;
-  Promises m_promises;
+  GuaranteeChecker m_guarantees;
   std::vector<Fault> m_plan;
   std::size_t m_nextFault = 0;
-  std::vector<std::pair<base::TimePoint, Fault>> m_running;
+  std::vector<std::pair<base::TimePoint, Fault>> m_activeFaults;
   base::TimePoint m_lastFaultAt{};
   standins::StoreStandin m_store;
   std::unique_ptr<ChaosProxy> m_storeProxy;
@@ -106,16 +109,18 @@
   std::vector<std::unique_ptr<SoakCaller>> m_callers;
   CrashingCaller m_crashingCaller;
   std::vector<base::TimePoint> m_crashingRuns;
-  //! What was written since the store's last copy, to be written again.
-  std::vector<std::function<void()>> m_written;
+  //! Writes since the store's last copy; repeated after a restore.
+  std::vector<std::function<void()>> m_writesSinceCopy;
   base::TimePoint m_copiedAt{};
   std::optional<base::TimePoint> m_rewriteAt;
   std::uint64_t m_configVersion = 0;
   std::uint32_t m_keyNumber = 0;
-  ZoneWatch m_zones{ m_promises };
-  std::array<int, kSoakZones> m_evacuations{};          //!< running, by zone
-  std::map<std::string, base::TimePoint> m_warmAt;      //!< by upstream
-  std::map<std::string, base::TimePoint> m_withdrawnAt; //!< by key's workspace
+  ZoneChecker m_zoneChecks{ m_guarantees };
+  std::array<int, kSoakZones> m_evacuations{}; //!< active evacuations by zone
+  std::map<std::string, base::TimePoint>
+    m_warmAt; //!< end of the cold time, by upstream
+  std::map<std::string, base::TimePoint>
+    m_revokedAt; //!< time of revocation, by workspace of the key
 };
 
 }
--- a/src/soak/tests/flaweddialects.h
+++ b/src/soak/tests/flawedcodecs.h
@@ -9,21 +9,21 @@
 
 namespace hemlockgauge::soak {
 
-//! What a deliberately broken router does wrong. Each breaks one promise that
-//! the soak watches; the soak must notice.
+//! Deliberate flaws of a test router. Each violates one guarantee, and the
+//! soak test must detect it.
 enum class Flaw : std::uint8_t
 {
-  CrossedIds,        //!< now and then a request goes out as the one before it
-  FalseNotRun,       //!< what may have run is told not to have run
-  RepeatsAll,        //!< what may run once is tried again like the rest
-  WrongFields,       //!< upstreams are told another workspace
-  KeepsLeaving,      //!< upstreams that leave go on getting work
-  KeepsOldKeys,      //!< withdrawn keys stay
-  StopsAtOnce,       //!< a planned stop waits for nothing
-  LosesTheStore,     //!< after a while answers of the store are not understood
-  TakesAllForNew,    //!< no request is recognised when it comes again
-  MissesEvacuations, //!< evacuated zones go on getting work
-  TakesColdForWarm   //!< cold upstreams get as much as warm ones
+  ReusesIds,            //!< some requests carry the id of the previous one
+  FalseNotRun,          //!< reports "not run" for requests that may have run
+  RetriesNonIdempotent, //!< retries non-idempotent requests too
+  WrongWorkspace,       //!< sends another workspace to upstreams
+  IgnoresDraining,      //!< sends requests to draining and removed upstreams
+  KeepsRevokedKeys,     //!< accepts revoked keys
+  StopsWithoutDrain,    //!< does not drain in a planned stop
+  RejectsStorePages,    //!< rejects responses of the store after a while
+  IgnoresRepetition,    //!< does not recognise a repeated request
+  IgnoresEvacuations,   //!< sends requests to evacuated zones
+  IgnoresColdState      //!< sends the full load to cold upstreams
 };
 inline constexpr auto kFlawNames =
   base::MakeEnumNames<Flaw>("crossed-ids",
@@ -38,35 +38,35 @@
                             "misses-evacuations",
                             "takes-cold-for-warm");
 
-class FlawedCallers : public gateway::ICallerDialect
+class FlawedCallerCodec : public gateway::ICallerDialect
 {
 public:
-  FlawedCallers(Flaw aFlaw, const gateway::ICallerDialect& aTrue)
+  FlawedCallerCodec(Flaw aFlaw, const gateway::ICallerDialect& aDelegate)
     : m_flaw(aFlaw)
-    , m_true(aTrue)
+    , m_delegate(aDelegate)
   {
   }
 
   gateway::CallerRequest Decode(http::RequestHead&& aHead) const override;
   std::string EncodeHead(const gateway::UpstreamAnswer& aAnswer) const override
   {
-    return m_true.EncodeHead(aAnswer);
+    return m_delegate.EncodeHead(aAnswer);
   }
   std::string EncodeOwn(const gateway::OwnAnswer& aAnswer) const override;
 
 private:
   Flaw m_flaw;
-  const gateway::ICallerDialect& m_true;
+  const gateway::ICallerDialect& m_delegate;
   mutable std::uint64_t m_requests = 0;
   mutable std::string m_lastId;
 };
 
-class FlawedUpstreams : public gateway::IUpstreamDialect
+class FlawedUpstreamCodec : public gateway::IUpstreamDialect
 {
 public:
-  FlawedUpstreams(Flaw aFlaw, const gateway::IUpstreamDialect& aTrue)
+  FlawedUpstreamCodec(Flaw aFlaw, const gateway::IUpstreamDialect& aDelegate)
     : m_flaw(aFlaw)
-    , m_true(aTrue)
+    , m_delegate(aDelegate)
   {
   }
 
@@ -74,46 +74,46 @@
                      const gateway::SendContext& aContext) const override;
   gateway::UpstreamAnswer Decode(http::ResponseHead&& aHead) const override
   {
-    return m_true.Decode(std::move(aHead));
+    return m_delegate.Decode(std::move(aHead));
   }
 
 private:
   Flaw m_flaw;
-  const gateway::IUpstreamDialect& m_true;
+  const gateway::IUpstreamDialect& m_delegate;
 };
 
-class FlawedStore : public gateway::IStoreDialect
+class FlawedStoreCodec : public gateway::IStoreDialect
 {
 public:
-  FlawedStore(Flaw aFlaw, const gateway::IStoreDialect& aTrue)
+  FlawedStoreCodec(Flaw aFlaw, const gateway::IStoreDialect& aDelegate)
     : m_flaw(aFlaw)
-    , m_true(aTrue)
+    , m_delegate(aDelegate)
   {
   }
 
   std::string EncodeList(const std::string& aAfterKey) const override
   {
-    return m_true.EncodeList(aAfterKey);
+    return m_delegate.EncodeList(aAfterKey);
   }
   std::string EncodeWatch(std::uint64_t aAfterRevision,
                           base::Duration aWait) const override
   {
-    return m_true.EncodeWatch(aAfterRevision, aWait);
+    return m_delegate.EncodeWatch(aAfterRevision, aWait);
   }
   gateway::StorePage DecodeList(std::string_view aBody) const override;
   gateway::StorePage DecodeWatch(std::string_view aBody) const override;
   std::optional<std::uint64_t> DecodeEra(
     const http::HeaderList& aHeaders) const override
   {
-    return m_true.DecodeEra(aHeaders);
+    return m_delegate.DecodeEra(aHeaders);
   }
   fleet::ConfigPtr DecodeConfig(std::string_view aBytes) const override;
 
 private:
-  gateway::StorePage Spoil(gateway::StorePage aPage) const;
+  gateway::StorePage ApplyFlaw(gateway::StorePage aPage) const;
 
   Flaw m_flaw;
-  const gateway::IStoreDialect& m_true;
+  const gateway::IStoreDialect& m_delegate;
   mutable int m_pages = 0;
   mutable std::unordered_map<std::string, std::string> m_keys;
 };
--- a/src/soak/tests/flawedrouter.cpp
+++ b/src/soak/tests/flawedrouter.cpp
@@ -1,7 +1,7 @@
 #include "base/error.h"
 #include "base/logline.h"
 #include "eventloop/eventloop.h"
-#include "flaweddialects.h"
+#include "flawedcodecs.h"
 #include "gateway/gateway.h"
 #include "gateway/gatewaysettings.h"
 #include "platform/platformcallers.h"
@@ -18,18 +18,19 @@
 
 DEFINE_string(settings, "", "file with this router's settings (INI)");
 
-//! A router that is broken on purpose, for the soak to catch. The flaw is
-//! named by the environment, for the soak starts it like any other router.
+//! Router with a deliberate flaw that the soak test must detect. The flaw is
+//! named by an environment variable, because the soak starts this program with
+//! the command line of an ordinary router.
 using namespace hemlockgauge;
 
 namespace {
 
 constexpr auto kFlawVariable = "HEMLOCKGAUGE_FLAW";
 constexpr base::Duration kSignalPeriod(20);
-constexpr int kExitBad = 1;
-constexpr int kExitCut = 2;
-//! Shorter than any request takes.
-constexpr base::Duration kNoGrace(1);
+constexpr int kExitError = 1;
+constexpr int kExitRequestsCut = 2;
+//! Grace period of a stop, in ms; shorter than any request takes.
+constexpr base::Duration kMinGracePeriod(1);
 
 std::atomic<int> stopRequests{ 0 };
 
@@ -40,22 +41,23 @@
   std::signal(SIGHUP, SIG_IGN);
   std::signal(SIGTERM, [](int) { stopRequests++; });
   auto settings = gateway::ReadGatewaySettings(FLAGS_settings);
-  if (aFlaw == soak::Flaw::StopsAtOnce) {
-    settings.grace = kNoGrace;
+  if (aFlaw == soak::Flaw::StopsWithoutDrain) {
+    settings.grace = kMinGracePeriod;
   }
   eventloop::EventLoop loop;
   const platformadapter::PlatformCallers callers;
   const platformadapter::PlatformUpstreams upstreams;
   const platformadapter::PlatformStore store(settings.store);
-  const soak::FlawedCallers flawedCallers(aFlaw, callers);
-  const soak::FlawedUpstreams flawedUpstreams(aFlaw, upstreams);
-  const soak::FlawedStore flawedStore(aFlaw, store);
-  const auto life = std::chrono::duration_cast<std::chrono::milliseconds>(
-    std::chrono::system_clock::now().time_since_epoch());
+  const soak::FlawedCallerCodec flawedCallers(aFlaw, callers);
+  const soak::FlawedUpstreamCodec flawedUpstreams(aFlaw, upstreams);
+  const soak::FlawedStoreCodec flawedStore(aFlaw, store);
+  const auto incarnation =
+    std::chrono::duration_cast<std::chrono::milliseconds>(
+      std::chrono::system_clock::now().time_since_epoch());
   gateway::Gateway router(loop,
                           settings,
                           { flawedCallers, flawedUpstreams, flawedStore },
-                          static_cast<std::uint64_t>(life.count()));
+                          static_cast<std::uint64_t>(incarnation.count()));
   router.Start();
   loop.Subscribe(kSignalPeriod, [&] {
     if (stopRequests > 0) {
@@ -63,7 +65,7 @@
     }
   });
   loop.Run();
-  return router.Cut() == 0 ? 0 : kExitCut;
+  return router.Cut() == 0 ? 0 : kExitRequestsCut;
 }
 
 }
@@ -76,12 +78,12 @@
     const char* name = std::getenv(kFlawVariable);
     const auto flaw = soak::kFlawNames.ValueOf(name == nullptr ? "" : name);
     if (!flaw) {
-      std::cerr << kFlawVariable << " names no flaw\n";
-      return kExitBad;
+      std::cerr << kFlawVariable << ": expected the name of a flaw\n";
+      return kExitError;
     }
     return Run(*flaw);
   } catch (const base::Error& error) {
     std::cerr << error.what() << "\n";
-    return kExitBad;
+    return kExitError;
   }
 }
--- a/src/soak/tests/soaktests.cpp
+++ b/src/soak/tests/soaktests.cpp
@@ -1,6 +1,6 @@
-#include "soak/promises.h"
+#include "soak/guarantees.h"
 #include "soak/soakplan.h"
-#include "soak/zonewatch.h"
+#include "soak/zonechecker.h"
 
 #include <criterion/criterion.h>
 
@@ -9,7 +9,7 @@
 using namespace hemlockgauge;
 using namespace hemlockgauge::soak;
 
-Test(soakplan, TheSameSeedGivesTheSamePlan)
+Test(soakplan, SameSeedGivesSamePlan)
 {
   SoakSettings settings;
   settings.seed = 5;
@@ -32,11 +32,10 @@
       cr_assert(fault.target < settings.upstreams);
     }
   }
-  cr_assert(kinds.size() ==
-            static_cast<std::size_t>(FaultKind::WithdrawKey) + 1);
+  cr_assert(kinds.size() == static_cast<std::size_t>(FaultKind::RevokeKey) + 1);
 }
 
-Test(soakplan, RestoresLeaveASeedsOtherFaultsAsTheyAre)
+Test(soakplan, RestoresDoNotChangeOtherFaults)
 {
   SoakSettings settings;
   settings.seed = 5;
@@ -53,7 +52,7 @@
   }
 }
 
-Test(soakplan, ZoneFaultsLeaveASeedsOtherFaultsAsTheyAre)
+Test(soakplan, ZoneFaultsDoNotChangeOtherFaults)
 {
   SoakSettings settings;
   settings.seed = 5;
@@ -62,7 +61,7 @@
   auto with = MakePlan(settings);
   const auto added = std::erase_if(with, [&](const Fault& aFault) {
     return aFault.kind >= FaultKind::EvacuateZone &&
-           aFault.at + aFault.lasts <= settings.length;
+           aFault.at + aFault.duration <= settings.length;
   });
   cr_assert(added == 6);
   cr_assert(with.size() == without.size());
@@ -71,50 +70,51 @@
   }
 }
 
-//! Each breaks the promise once, just over its bound.
-Test(promises, WorkInAnEvacuatedZoneAndTooMuchForAColdUpstreamAreCaught)
+//! Violates each of the two guarantees once, just beyond its bound.
+Test(guarantees, DetectsWorkInEvacuatedZoneAndOverloadOfColdUpstream)
 {
   using namespace std::chrono_literals;
-  Promises promises;
-  ZoneWatch zones(promises);
+  GuaranteeChecker guarantees;
+  ZoneChecker zones(guarantees);
   zones.Evacuated("z0", 1000ms);
-  zones.Ran("i-1", "z0", "r-1", 6900ms);
-  zones.Ran("i-1", "z1", "r-2", 9000ms);
-  cr_assert(promises.Broken().empty());
-  zones.Ran("i-1", "z0", "r-3", 7000ms);
-  cr_assert(promises.Broken().size() == 1);
+  zones.RecordRun("i-1", "z0", "r-1", 6900ms);
+  zones.RecordRun("i-1", "z1", "r-2", 9000ms);
+  cr_assert(guarantees.Violations().empty());
+  zones.RecordRun("i-1", "z0", "r-3", 7000ms);
+  cr_assert(guarantees.Violations().size() == 1);
   zones.Restored("z0");
-  zones.Ran("i-1", "z0", "r-4", 9000ms);
+  zones.RecordRun("i-1", "z0", "r-4", 9000ms);
   zones.TurnedCold("i-2", 20000ms);
-  for (std::size_t i = 0; i < 2 * ZoneWatch::kColdLimit; ++i) {
-    zones.Ran("i-2", "z1", "r", 10000ms + base::Duration(i < 11 ? 0 : 1000));
+  for (std::size_t i = 0; i < 2 * ZoneChecker::kMaxColdRequestsPerSecond; ++i) {
+    zones.RecordRun(
+      "i-2", "z1", "r", 10000ms + base::Duration(i < 11 ? 0 : 1000));
   }
-  cr_assert(promises.Broken().size() == 1);
-  zones.Ran("i-2", "z1", "r", 11999ms);
-  cr_assert(promises.Broken().size() == 2);
-  zones.Ran("i-2", "z1", "r", 20000ms);
-  cr_assert(promises.Broken().size() == 2);
+  cr_assert(guarantees.Violations().size() == 1);
+  zones.RecordRun("i-2", "z1", "r", 11999ms);
+  cr_assert(guarantees.Violations().size() == 2);
+  zones.RecordRun("i-2", "z1", "r", 20000ms);
+  cr_assert(guarantees.Violations().size() == 2);
 }
 
-Test(promises, ASecondRunOfWhatMayRunOnceIsCaught)
+Test(guarantees, DetectsSecondRunOfNonIdempotentRequest)
 {
-  Promises promises;
-  promises.Ran("once-1", false, false);
-  cr_assert(promises.Broken().empty());
-  promises.Ran("once-1", false, false);
-  cr_assert(promises.Broken().size() == 1);
-  promises.Ran("safe-1", true, false);
-  promises.Ran("safe-1", true, false);
-  cr_assert(promises.Broken().size() == 1);
+  GuaranteeChecker guarantees;
+  guarantees.RecordRun("once-1", false, false);
+  cr_assert(guarantees.Violations().empty());
+  guarantees.RecordRun("once-1", false, false);
+  cr_assert(guarantees.Violations().size() == 1);
+  guarantees.RecordRun("safe-1", true, false);
+  guarantees.RecordRun("safe-1", true, false);
+  cr_assert(guarantees.Violations().size() == 1);
 }
 
-Test(promises, AnUntrueNotRunIsCaughtAlsoWhenItRunsLater)
+Test(guarantees, DetectsFalseNotRunAlsoIfRequestRunsLater)
 {
-  Promises promises;
-  promises.ToldNotRun("once-1");
-  promises.ToldNotRun("once-2");
-  promises.Ran("once-1", false, false);
-  promises.Finish();
-  cr_assert(promises.Broken().size() == 1);
-  cr_assert(promises.Checked(Promise::NotRunIsTrue) == 2);
+  GuaranteeChecker guarantees;
+  guarantees.RecordNotRun("once-1");
+  guarantees.RecordNotRun("once-2");
+  guarantees.RecordRun("once-1", false, false);
+  guarantees.Finish();
+  cr_assert(guarantees.Violations().size() == 1);
+  cr_assert(guarantees.CheckCount(Guarantee::NotRunIsAccurate) == 2);
 }
