--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr long kLimitMs = 2000;
+constexpr long kTimeoutMs = 2000;
 
 std::size_t
 Append(char* aData, std::size_t aSize, std::size_t aCount, void* aOut)
@@ -28,7 +28,8 @@
   return aSize * aCount;
 }
 
-//! A page of a router, whatever its status; nothing if it can't be reached.
+//! Reads a JSON page of a router, with any HTTP status; empty if the router
+//! can't be reached or the page is no JSON object.
 std::optional<json>
 GetPage(const std::string& aRouter, const std::string& aPath)
 {
@@ -38,7 +39,7 @@
   const auto url = "http://" + aRouter + aPath;
   curl_easy_setopt(handle.get(), CURLOPT_URL, url.c_str());
   curl_easy_setopt(handle.get(), CURLOPT_PROXY, "");
-  curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT_MS, kLimitMs);
+  curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT_MS, kTimeoutMs);
   curl_easy_setopt(handle.get(), CURLOPT_WRITEFUNCTION, Append);
   curl_easy_setopt(handle.get(), CURLOPT_WRITEDATA, &body);
   if (curl_easy_perform(handle.get()) != CURLE_OK) {
@@ -55,7 +56,7 @@
 }
 
 ExitCode
-CodeOf(const base::Error& aError)
+ReportError(const base::Error& aError)
 {
   std::cerr << aError.what() << "\n";
   return aError.Code() == base::ErrorCode::Unreachable ? ExitCode::BadUse
@@ -73,7 +74,7 @@
               << parsed.workspaces.size() << " workspaces is valid\n";
     return ExitCode::Good;
   } catch (const base::Error& error) {
-    return CodeOf(error);
+    return ReportError(error);
   }
 }
 
@@ -91,7 +92,7 @@
     }
     return ExitCode::Good;
   } catch (const base::Error& error) {
-    return CodeOf(error);
+    return ReportError(error);
   }
 }
 
@@ -100,7 +101,7 @@
 {
   const auto first = GetPage(aRouter, "/status");
   if (!first) {
-    std::cerr << aRouter << ": no router answers there\n";
+    std::cerr << aRouter << ": no router responds at this address\n";
     return ExitCode::Unreachable;
   }
   std::vector<json> pages{ *first };
@@ -135,7 +136,7 @@
 {
   const auto status = GetPage(aRouter, "/status");
   if (!status) {
-    std::cerr << aRouter << ": no router answers there\n";
+    std::cerr << aRouter << ": no router responds at this address\n";
     return ExitCode::Unreachable;
   }
   for (const auto& member : (*status)["members"]) {
@@ -155,7 +156,8 @@
       return ExitCode::Good;
     }
   }
-  std::cerr << aRequestId << ": no router remembers this request\n";
+  std::cerr << aRequestId
+            << ": no reachable router has decisions for this request\n";
   return ExitCode::Refused;
 }
 
--- a/src/ctl/statuspage.cpp
+++ b/src/ctl/statuspage.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::int64_t kOldAnswerMs = 30000;
+constexpr std::int64_t kLateResponseMs = 30000;
 constexpr double kBehindAlarmSeconds = 30;
 
 void
-DescribeDocuments(const std::vector<json>& aPages, Handover& aOut)
+DescribeDocuments(const std::vector<json>& aPages, Handover& aHandover)
 {
   std::map<std::string, std::map<std::uint64_t, int>> revisions;
   for (const auto& page : aPages) {
@@ -24,19 +24,20 @@
       revisions[one["name"]][one["revision"]]++;
     }
   }
-  aOut.text += "In force:\n";
+  aHandover.text += "In force:\n";
   for (const auto& [name, counts] : revisions) {
     for (const auto& [revision, routers] : counts) {
-      aOut.text += fmt::format("  {:<24} revision {:<8} on {} of {} routers\n",
-                               name,
-                               revision,
-                               routers,
-                               aPages.size());
+      aHandover.text +=
+        fmt::format("  {:<24} revision {:<8} on {} of {} routers\n",
+                    name,
+                    revision,
+                    routers,
+                    aPages.size());
     }
     const int newest = counts.rbegin()->second;
     if (newest != static_cast<int>(aPages.size())) {
-      aOut.alarms.push_back("service " + name +
-                            ": the newest revision is not on every router");
+      aHandover.alarms.push_back("service " + name +
+                                 ": not all routers use the newest revision");
     }
   }
 }
@@ -44,54 +45,59 @@
 void
 DescribeMembers(const std::vector<json>& aPages,
                 const std::vector<std::string>& aUnreachable,
-                Handover& aOut)
+                Handover& aHandover)
 {
-  aOut.text += "Routers:\n";
+  aHandover.text += "Routers:\n";
   for (const auto& page : aPages) {
     const auto age = page["platform_answer_age_ms"].get<std::int64_t>();
-    aOut.text += fmt::format("  {:<24} {}{} queued {} running {}\n",
-                             page["router"].get<std::string>(),
-                             page["ready"].get<bool>() ? "ready" : "not ready",
-                             page["draining"].get<bool>() ? ", draining" : "",
-                             page["queued"].get<int>(),
-                             page["running"].get<int>());
+    aHandover.text +=
+      fmt::format("  {:<24} {}{} queued {} running {}\n",
+                  page["router"].get<std::string>(),
+                  page["ready"].get<bool>() ? "ready" : "not ready",
+                  page["draining"].get<bool>() ? ", draining" : "",
+                  page["queued"].get<int>(),
+                  page["running"].get<int>());
     if (page["control"]["invariants_broken"].get<int>() > 0) {
-      aOut.alarms.push_back("router " + page["router"].get<std::string>() +
-                            ": an invariant broke, see its log");
+      aHandover.alarms.push_back(
+        "router " + page["router"].get<std::string>() +
+        ": an invariant was violated, see the router's log");
     }
-    if (age > kOldAnswerMs * 3) {
-      aOut.alarms.push_back("router " + page["router"].get<std::string>() +
-                            ": no answer of the platform for long");
+    if (age > kLateResponseMs * 3) {
+      aHandover.alarms.push_back(
+        "router " + page["router"].get<std::string>() +
+        ": no response from the platform for too long");
     }
   }
   for (const auto& address : aUnreachable) {
-    aOut.alarms.push_back("router at " + address + " does not answer");
+    aHandover.alarms.push_back("router at " + address + " does not respond");
   }
 }
 
 void
-DescribeUpstreams(const std::vector<json>& aPages, Handover& aOut)
+DescribeUpstreams(const std::vector<json>& aPages, Handover& aHandover)
 {
-  std::map<std::string, std::set<std::string>> marks;
+  std::map<std::string, std::set<std::string>> reasons;
   for (const auto& page : aPages) {
     for (const auto& one : page["upstreams"]) {
       const auto state = one["state"].get<std::string>();
       const auto name = one["upstream"].get<std::string>();
       if (state != "live") {
-        marks[name].insert(state);
+        reasons[name].insert(state);
       }
       if (one["ejected"].get<bool>()) {
-        marks[name].insert("ejected at " + page["router"].get<std::string>());
+        reasons[name].insert("ejected at " + page["router"].get<std::string>());
       }
     }
   }
-  aOut.text += "Upstreams that get no new work, or not from all:\n";
-  for (const auto& [name, why] : marks) {
-    aOut.text += fmt::format("  {:<24} {}\n", name, fmt::join(why, ", "));
+  aHandover.text +=
+    "Upstreams that get no new requests from some or all routers:\n";
+  for (const auto& [name, texts] : reasons) {
+    aHandover.text +=
+      fmt::format("  {:<24} {}\n", name, fmt::join(texts, ", "));
   }
 }
 
-struct WorkspaceSum
+struct WorkspaceTotals
 {
   int queued = 0;
   int running = 0;
@@ -100,14 +106,14 @@
 };
 
 void
-DescribeWorkspaces(const std::vector<json>& aPages, Handover& aOut)
+DescribeWorkspaces(const std::vector<json>& aPages, Handover& aHandover)
 {
-  std::map<std::string, WorkspaceSum> sums;
+  std::map<std::string, WorkspaceTotals> totals;
   for (const auto& page : aPages) {
     for (const auto& one : page["workspaces"]) {
       const auto name = one["service"].get<std::string>() + "/" +
                         one["workspace"].get<std::string>();
-      auto& sum = sums[name];
+      auto& sum = totals[name];
       sum.queued += one["queued_here"].get<int>();
       sum.running += one["running_here"].get<int>();
       sum.entitled =
@@ -115,12 +121,12 @@
       sum.behind = std::max(sum.behind, one["behind_seconds"].get<double>());
     }
   }
-  aOut.text += "Workspaces with work:\n";
-  for (const auto& [name, sum] : sums) {
+  aHandover.text += "Workspaces with queued or running requests:\n";
+  for (const auto& [name, sum] : totals) {
     if (sum.queued + sum.running == 0) {
       continue;
     }
-    aOut.text += fmt::format(
+    aHandover.text += fmt::format(
       "  {:<32} queued {:<5} running {:<5} entitled {:<7.1f} behind {:.1f} s\n",
       name,
       sum.queued,
@@ -128,7 +134,8 @@
       sum.entitled,
       sum.behind);
     if (sum.behind > kBehindAlarmSeconds) {
-      aOut.alarms.push_back("workspace " + name + " is far behind its share");
+      aHandover.alarms.push_back("workspace " + name +
+                                 " is far behind its share");
     }
   }
 }
--- a/src/document/documenttypes.h
+++ b/src/document/documenttypes.h
@@ -42,8 +42,7 @@
   std::uint32_t concurrency = 8; //!< slots on each upstream of the pool
   base::Duration deadline{ 30000 };
   base::Duration stallLimit{ 2000 };
-  //! Weight of fairness against utilisation: 0 favours utilisation only, 100
-  //! favours a small fairness gap only.
+  //! Weight, 0 to 100, of a small fairness gap against high utilisation.
   std::uint32_t fairnessWeight = 50;
   std::vector<std::string> repeatablePaths;
   std::vector<Workspace> workspaces;
--- a/src/load/call.cpp
+++ b/src/load/call.cpp
@@ -20,7 +20,7 @@
 }
 
 bool
-Named(const std::string& aLine, std::string_view aName)
+HasHeaderName(const std::string& aLine, std::string_view aName)
 {
   return strncasecmp(aLine.c_str(), aName.data(), aName.size()) == 0;
 }
@@ -58,8 +58,8 @@
     curl_slist_free_all(m_headers);
     m_headers = nullptr;
   }
-  m_tries++;
-  m_answer.clear();
+  m_attempts++;
+  m_response.clear();
   m_verdict.clear();
   m_status = 0;
   m_handle = curl_easy_init();
@@ -69,7 +69,7 @@
   add("Authorization: Bearer " + m_plan.key);
   add("Content-Type: application/json");
   add("Expect:");
-  // Only an upstream asked directly looks at this.
+  // Used only by an upstream that receives the request without a router.
   add(fmt::format("X-Request-Id: {}-{}", m_plan.name, m_seed));
   add(fmt::format("Idempotency-Key: {}-{}", m_plan.name, m_seed));
   const auto url = "http://" + aRouter + m_plan.path;
@@ -97,7 +97,7 @@
 std::size_t
 Call::OnBody(char* aData, std::size_t aSize, std::size_t aCount, void* aSelf)
 {
-  static_cast<Call*>(aSelf)->TakeBody({ aData, aSize * aCount });
+  static_cast<Call*>(aSelf)->AppendBody({ aData, aSize * aCount });
   return aSize * aCount;
 }
 
@@ -112,42 +112,42 @@
     text.erase(text.find_last_not_of("\r\n") + 1);
     return text;
   };
-  if (Named(line, "X-Verdict:")) {
+  if (HasHeaderName(line, "X-Verdict:")) {
     self.m_verdict = value("X-Verdict:");
-  } else if (Named(line, "Retry-After:")) {
-    self.m_retryAfter = std::atof(value("Retry-After:").c_str());
+  } else if (HasHeaderName(line, "Retry-After:")) {
+    self.m_retryAfterSeconds = std::atof(value("Retry-After:").c_str());
   }
   return aSize * aCount;
 }
 
 void
-Call::TakeBody(std::string_view aBytes)
+Call::AppendBody(std::string_view aBytes)
 {
   const bool token = aBytes.find("data: t") != std::string_view::npos;
-  m_answer.append(aBytes);
+  m_response.append(aBytes);
   if (m_plan.stream && !token) {
     return;
   }
-  if (m_firstToken == 0) {
-    m_firstToken = MillisSince(m_askedAt);
+  if (m_firstTokenMs == 0) {
+    m_firstTokenMs = MillisSince(m_startedAt);
   } else {
-    m_gaps.push_back(MillisSince(m_lastToken));
+    m_tokenGapsMs.push_back(MillisSince(m_lastTokenAt));
   }
-  m_lastToken = Clock::now();
+  m_lastTokenAt = Clock::now();
 }
 
 bool
-Call::IsWhole() const
+Call::IsComplete() const
 {
   if (!m_plan.stream) {
-    return m_answer == standins::ExpectedPlainAnswer(m_seed);
+    return m_response == standins::ExpectedPlainAnswer(m_seed);
   }
   std::string data;
   std::size_t at = 0;
   constexpr std::string_view kData = "data: ";
-  while ((at = m_answer.find(kData, at)) != std::string::npos) {
-    const auto end = m_answer.find('\n', at);
-    data += m_answer.substr(at + kData.size(), end - at - kData.size());
+  while ((at = m_response.find(kData, at)) != std::string::npos) {
+    const auto end = m_response.find('\n', at);
+    data += m_response.substr(at + kData.size(), end - at - kData.size());
     data += '\n';
     at = end;
   }
@@ -159,23 +159,23 @@
   return data == expected;
 }
 
-CallEnd
+CallOutcome
 Call::Close(CURLcode aResult)
 {
   curl_easy_getinfo(m_handle, CURLINFO_RESPONSE_CODE, &m_status);
   if (aResult == CURLE_OPERATION_TIMEDOUT) {
-    return CallEnd::Lost;
+    return CallOutcome::Lost;
   }
   if (aResult == CURLE_COULDNT_CONNECT) {
-    return CallEnd::NotRun;
+    return CallOutcome::NotRun;
   }
   if (aResult != CURLE_OK) {
-    return CallEnd::Cut;
+    return CallOutcome::Cut;
   }
   if (m_status == 200) {
-    return IsWhole() ? CallEnd::Whole : CallEnd::Wrong;
+    return IsComplete() ? CallOutcome::Complete : CallOutcome::Wrong;
   }
-  return m_verdict == "not-run" ? CallEnd::NotRun : CallEnd::MayHaveRun;
+  return m_verdict == "not-run" ? CallOutcome::NotRun : CallOutcome::MayHaveRun;
 }
 
 }
--- a/src/load/call.h
+++ b/src/load/call.h
@@ -13,17 +13,18 @@
 
 using Clock = std::chrono::steady_clock;
 
-enum class CallEnd
+//! Outcome of one attempt of a call.
+enum class CallOutcome
 {
-  Whole,      //!< byte for byte what was expected
-  NotRun,     //!< refused, and said not to have run
-  MayHaveRun, //!< refused, and said that it may have run
-  Cut,        //!< visibly broken
-  Wrong,      //!< claimed to be whole and was not, or another's answer
-  Lost        //!< no end in time
+  Complete,   //!< complete response, equal to the expected one
+  NotRun,     //!< refused or not connected; the request did not run
+  MayHaveRun, //!< failed without a "not run" verdict
+  Cut,        //!< connection or stream broke
+  Wrong,      //!< success with another body than the expected one
+  Lost        //!< timed out
 };
 
-//! One request of a caller and the check of its answer.
+//! One request of a caller, with its retries and the check of its response.
 class Call
 {
 public:
@@ -35,40 +36,42 @@
   Call(const Call&) = delete;
   Call& operator=(const Call&) = delete;
 
+  //! Prepares the next attempt at aRouter (IP:PORT).
   CURL* Open(const std::string& aRouter);
-  CallEnd Close(CURLcode aResult);
+  //! Ends the attempt with curl's result and returns its outcome.
+  CallOutcome Close(CURLcode aResult);
   std::size_t Workspace() const { return m_workspace; }
   const WorkspacePlan& Plan() const { return m_plan; }
-  Clock::time_point AskedAt() const { return m_askedAt; }
-  const std::vector<double>& TokenGapsMs() const { return m_gaps; }
-  double FirstTokenMs() const { return m_firstToken; }
-  std::uint32_t Tries() const { return m_tries; }
+  Clock::time_point StartedAt() const { return m_startedAt; }
+  const std::vector<double>& TokenGapsMs() const { return m_tokenGapsMs; }
+  double FirstTokenMs() const { return m_firstTokenMs; }
+  std::uint32_t Attempts() const { return m_attempts; }
   long Status() const { return m_status; }
-  double RetryAfterSeconds() const { return m_retryAfter; }
+  double RetryAfterSeconds() const { return m_retryAfterSeconds; }
   std::uint32_t Tokens() const { return m_tokens; }
 
 private:
   static std::size_t OnBody(char*, std::size_t, std::size_t, void*);
   static std::size_t OnHeader(char*, std::size_t, std::size_t, void*);
-  void TakeBody(std::string_view aBytes);
-  bool IsWhole() const;
+  void AppendBody(std::string_view aBytes);
+  bool IsComplete() const;
 
   const WorkspacePlan& m_plan;
   std::size_t m_workspace;
   std::uint64_t m_seed;
   std::uint32_t m_tokens;
   std::string m_body;
-  std::string m_answer;
+  std::string m_response;
   std::string m_verdict;
-  double m_retryAfter = 0;
+  double m_retryAfterSeconds = 0;
   long m_status = 0;
-  std::uint32_t m_tries = 0;
+  std::uint32_t m_attempts = 0;
   CURL* m_handle = nullptr;
   curl_slist* m_headers = nullptr;
-  Clock::time_point m_askedAt = Clock::now();
-  Clock::time_point m_lastToken{};
-  double m_firstToken = 0;
-  std::vector<double> m_gaps;
+  Clock::time_point m_startedAt = Clock::now();
+  Clock::time_point m_lastTokenAt{};
+  double m_firstTokenMs = 0;
+  std::vector<double> m_tokenGapsMs;
 };
 
 }
--- a/src/load/fleetsampler.cpp
+++ b/src/load/fleetsampler.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr auto kPeriod = std::chrono::milliseconds(500);
+constexpr auto kPollInterval = std::chrono::milliseconds(500);
 
 }
 
@@ -37,11 +37,11 @@
   using Clock = std::chrono::steady_clock;
   const auto start = Clock::now();
   while (!m_stop && !m_plan.operators.empty()) {
-    std::this_thread::sleep_for(kPeriod);
+    std::this_thread::sleep_for(kPollInterval);
     const double now =
       std::chrono::duration<double>(Clock::now() - start).count();
     for (std::size_t i = 0; i < m_plan.operators.size(); ++i) {
-      ReadRouter(i);
+      PollRouter(i);
     }
     if (now >= m_plan.warmupSeconds && now <= m_plan.seconds) {
       Sample(now);
@@ -49,10 +49,10 @@
   }
 }
 
-//! NOTE a router that restarts counts from zero, so totals grow by steps
-//! of each router's own counter.
+//! Adds the increase of a router's counters to the totals. A counter that
+//! decreased belongs to a restarted router and is counted from zero.
 void
-FleetSampler::ReadRouter(std::size_t aIndex)
+FleetSampler::PollRouter(std::size_t aIndex)
 {
   const auto text = SimpleGet(m_plan.operators[aIndex], "/status");
   const auto page = json::parse(text, nullptr, false);
@@ -63,9 +63,9 @@
   for (const auto& one : page["workspaces"]) {
     const auto name = one["workspace"].get<std::string>();
     const auto served = one["served_here"].get<double>();
-    auto& before = router.served[name];
-    m_total[name] += served >= before ? served - before : served;
-    before = served;
+    auto& previous = router.served[name];
+    m_served[name] += served >= previous ? served - previous : served;
+    previous = served;
   }
   const auto& control = page["control"];
   router.bytes = control["bytes_sent"].get<double>() +
@@ -77,12 +77,12 @@
 FleetSampler::Sample(double aSeconds)
 {
   double used = 0;
-  for (const auto& [name, served] : m_total) {
+  for (const auto& [name, served] : m_served) {
     used += served;
   }
   if (m_startSecond < 0) {
     m_startSecond = aSeconds;
-    m_start = m_total;
+    m_servedAtStart = m_served;
     m_usedAtStart = used;
     for (auto& [index, router] : m_routers) {
       router.firstBytes = router.bytes;
@@ -96,24 +96,27 @@
   for (const auto& one : m_plan.workspaces) {
     if (one.backlogged) {
       shares += one.share;
-      served += m_total[one.name] - m_start[one.name];
+      served += m_served[one.name] - m_servedAtStart[one.name];
     }
   }
-  double least = 1e18;
-  double most = -1e18;
+  double minLead = 1e18;
+  double maxLead = -1e18;
   for (const auto& one : m_plan.workspaces) {
     if (one.backlogged && shares > 0 && served > 0) {
-      const double fair = served * one.share / shares;
-      const double got = m_total[one.name] - m_start[one.name];
-      const double ahead = (got - fair) / (fair / elapsed);
-      least = std::min(least, ahead);
-      most = std::max(most, ahead);
+      const double fairServed = served * one.share / shares;
+      const double workspaceServed =
+        m_served[one.name] - m_servedAtStart[one.name];
+      const double lead =
+        (workspaceServed - fairServed) / (fairServed / elapsed);
+      minLead = std::min(minLead, lead);
+      maxLead = std::max(maxLead, lead);
     }
   }
-  if (most >= least) {
-    m_result.endGapSeconds = most - least;
-    m_result.worstGapSeconds = std::max(m_result.worstGapSeconds, most - least);
-    m_gapSum += most - least;
+  if (maxLead >= minLead) {
+    m_result.endGapSeconds = maxLead - minLead;
+    m_result.worstGapSeconds =
+      std::max(m_result.worstGapSeconds, maxLead - minLead);
+    m_gapSum += maxLead - minLead;
     m_result.samples++;
   }
   if (m_plan.slots > 0) {
@@ -133,7 +136,7 @@
   }
   const double elapsed = std::max(0.001, m_lastSecond - m_startSecond);
   double sum = 0;
-  int counted = 0;
+  int routerCount = 0;
   for (const auto& [index, router] : m_routers) {
     m_result.invariantsBroken += router.invariants;
     if (router.firstBytes < 0 || router.bytes < router.firstBytes) {
@@ -141,12 +144,12 @@
     }
     const double rate = (router.bytes - router.firstBytes) / elapsed;
     sum += rate;
-    counted++;
-    m_result.mostControlBytesPerRouterSecond =
-      std::max(m_result.mostControlBytesPerRouterSecond, rate);
+    routerCount++;
+    m_result.maxControlBytesPerRouterSecond =
+      std::max(m_result.maxControlBytesPerRouterSecond, rate);
   }
-  if (counted > 0) {
-    m_result.controlBytesPerRouterSecond = sum / counted;
+  if (routerCount > 0) {
+    m_result.controlBytesPerRouterSecond = sum / routerCount;
   }
   return m_result;
 }
--- a/src/load/fleetsampler.h
+++ b/src/load/fleetsampler.h
@@ -9,19 +9,20 @@
 
 namespace hemlockgauge::load {
 
-//! Reads the routers' status pages while a load runs, for what only the
-//! fleet as a whole shows.
+//! Polls the routers' status pages during a load run, in a thread of its own,
+//! and computes the results that concern the whole fleet.
 class FleetSampler
 {
 public:
   struct Result
   {
-    double worstGapSeconds = 0; //!< largest of the run, in seconds of a share
+    double worstGapSeconds =
+      0; //!< maximum fairness gap: seconds of work at the fair share
     double meanGapSeconds = 0;
     double endGapSeconds = 0;
-    double utilisation = 0; //!< slot time used while work waited
-    double controlBytesPerRouterSecond = 0; //!< both directions
-    double mostControlBytesPerRouterSecond = 0;
+    double utilisation = 0; //!< ratio of slot time used after the warm-up
+    double controlBytesPerRouterSecond = 0; //!< mean, sent and received
+    double maxControlBytesPerRouterSecond = 0;
     std::uint64_t invariantsBroken = 0;
     std::uint64_t samples = 0;
   };
@@ -29,6 +30,7 @@
   explicit FleetSampler(const Plan& aPlan);
   ~FleetSampler();
 
+  //! Stops the polling and returns the results.
   Result Finish();
 
 private:
@@ -41,14 +43,14 @@
   };
 
   void Run();
-  void ReadRouter(std::size_t aIndex);
+  void PollRouter(std::size_t aIndex);
   void Sample(double aSeconds);
 
   const Plan& m_plan;
   std::atomic<bool> m_stop{ false };
   std::map<std::size_t, Router> m_routers;
-  std::map<std::string, double> m_total; //!< slot seconds by workspace
-  std::map<std::string, double> m_start;
+  std::map<std::string, double> m_served; //!< served slot seconds by workspace
+  std::map<std::string, double> m_servedAtStart;
   double m_startSecond = -1;
   double m_lastSecond = 0;
   double m_usedAtStart = 0;
--- a/src/load/loadrun.cpp
+++ b/src/load/loadrun.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr int kPollMs = 2;
-constexpr std::uint32_t kMaxTries = 5;
-constexpr std::size_t kMaxOpen = 2000;
-constexpr double kRetryDelay = 0.2;
+constexpr int kPollTimeoutMs = 2;
+constexpr std::uint32_t kMaxAttempts = 5;
+constexpr std::size_t kMaxOpenCalls = 2000;
+constexpr double kMinRetryDelaySeconds = 0.2;
 
 }
 
@@ -39,7 +39,7 @@
 
 LoadRun::~LoadRun()
 {
-  for (const int socket : m_idle) {
+  for (const int socket : m_idleSockets) {
     close(socket);
   }
   m_calls.clear();
@@ -55,34 +55,34 @@
 void
 LoadRun::Run()
 {
-  OpenIdle();
+  OpenIdleConnections();
   const double end = m_plan.seconds + m_plan.drainSeconds;
   while (Seconds() < end) {
     const bool over = Seconds() >= m_plan.seconds;
-    if (over && m_calls.empty() && m_delayed.empty()) {
+    if (over && m_calls.empty() && m_retries.empty()) {
       break;
     }
     if (!over) {
-      StartDue();
+      StartDueRequests();
     }
-    StartDelayed();
+    StartDueRetries();
     int running = 0;
     curl_multi_perform(m_multi, &running);
-    TakeEnded();
-    Progress();
-    curl_multi_poll(m_multi, nullptr, 0, kPollMs, nullptr);
+    HandleCompletedAttempts();
+    PrintProgress();
+    curl_multi_poll(m_multi, nullptr, 0, kPollTimeoutMs, nullptr);
   }
   for (const auto& [key, call] : m_calls) {
     m_tallies[call->Workspace()].lost++;
   }
-  for (const auto& delayed : m_delayed) {
-    m_tallies[delayed.call->Workspace()].lost++;
+  for (const auto& retry : m_retries) {
+    m_tallies[retry.call->Workspace()].lost++;
   }
-  CountDoubled();
+  CountDoubleRuns();
 }
 
 void
-LoadRun::StartDue()
+LoadRun::StartDueRequests()
 {
   const double now = Seconds();
   for (std::size_t i = 0; i < m_sources.size(); ++i) {
@@ -91,14 +91,14 @@
     if (now < plan.startSecond || now >= plan.stopSecond) {
       continue;
     }
-    while (source.inProgress < plan.closed && m_calls.size() < kMaxOpen) {
-      StartOne(i);
+    while (source.inProgress < plan.closed && m_calls.size() < kMaxOpenCalls) {
+      StartRequest(i);
     }
     while (plan.rate > 0 && source.nextArrival <= now &&
-           m_calls.size() < kMaxOpen) {
+           m_calls.size() < kMaxOpenCalls) {
       std::exponential_distribution<double> gap(plan.rate);
       source.nextArrival += gap(m_random);
-      StartOne(i);
+      StartRequest(i);
     }
   }
 }
@@ -115,19 +115,19 @@
 }
 
 void
-LoadRun::StartOne(std::size_t aWorkspace)
+LoadRun::StartRequest(std::size_t aWorkspace)
 {
   const auto& plan = m_plan.workspaces[aWorkspace];
   std::uniform_int_distribution<std::uint32_t> tokens(plan.tokensLow,
                                                       plan.tokensHigh);
   m_tallies[aWorkspace].asked++;
   m_sources[aWorkspace].inProgress++;
-  Begin(
+  StartAttempt(
     std::make_unique<Call>(plan, aWorkspace, m_nextSeed++, tokens(m_random)));
 }
 
 void
-LoadRun::Begin(std::unique_ptr<Call> aCall)
+LoadRun::StartAttempt(std::unique_ptr<Call> aCall)
 {
   auto* handle = aCall->Open(NextRouter(aCall->Workspace()));
   curl_multi_add_handle(m_multi, handle);
@@ -136,23 +136,24 @@
 }
 
 void
-LoadRun::StartDelayed()
+LoadRun::StartDueRetries()
 {
   const double now = Seconds();
   std::vector<std::unique_ptr<Call>> due;
-  for (auto& delayed : m_delayed) {
-    if (delayed.at <= now) {
-      due.push_back(std::move(delayed.call));
+  for (auto& retry : m_retries) {
+    if (retry.at <= now) {
+      due.push_back(std::move(retry.call));
     }
   }
-  std::erase_if(m_delayed, [](const Delayed& aOne) { return !aOne.call; });
+  std::erase_if(m_retries,
+                [](const PendingRetry& aItem) { return !aItem.call; });
   for (auto& call : due) {
-    Begin(std::move(call));
+    StartAttempt(std::move(call));
   }
 }
 
 void
-LoadRun::TakeEnded()
+LoadRun::HandleCompletedAttempts()
 {
   int left = 0;
   while (const auto* message = curl_multi_info_read(m_multi, &left)) {
@@ -167,67 +168,70 @@
     auto call = std::move(m_calls[key]);
     m_calls.erase(key);
     const auto end = call->Close(result);
-    Settle(std::move(call), end);
+    HandleOutcome(std::move(call), end);
   }
 }
 
-//! A caller asks again elsewhere when that can do no harm: always after
-//! "not run", and after a cut only if its request may be repeated.
+//! Counts the outcome of an attempt. Retries at the next router if that is
+//! safe: always after "not run", but after a cut or a "may have run" only if
+//! the request is repeatable.
 void
-LoadRun::Settle(std::unique_ptr<Call> aCall, CallEnd aEnd)
+LoadRun::HandleOutcome(std::unique_ptr<Call> aCall, CallOutcome aOutcome)
 {
   auto& tally = m_tallies[aCall->Workspace()];
-  const bool safe = aEnd == CallEnd::NotRun ||
-                    (aCall->Plan().repeatable &&
-                     (aEnd == CallEnd::Cut || aEnd == CallEnd::MayHaveRun));
-  if (aEnd == CallEnd::Cut) {
+  const bool mayRetry =
+    aOutcome == CallOutcome::NotRun ||
+    (aCall->Plan().repeatable &&
+     (aOutcome == CallOutcome::Cut || aOutcome == CallOutcome::MayHaveRun));
+  if (aOutcome == CallOutcome::Cut) {
     tally.cut++;
   }
-  if (safe && aCall->Tries() < kMaxTries) {
-    if (aEnd == CallEnd::NotRun) {
+  if (mayRetry && aCall->Attempts() < kMaxAttempts) {
+    if (aOutcome == CallOutcome::NotRun) {
       tally.refusedNotRun++;
     }
-    const double wait = std::max(kRetryDelay, aCall->RetryAfterSeconds());
-    m_delayed.push_back({ Seconds() + wait, std::move(aCall) });
+    const double wait =
+      std::max(kMinRetryDelaySeconds, aCall->RetryAfterSeconds());
+    m_retries.push_back({ Seconds() + wait, std::move(aCall) });
     return;
   }
   m_sources[aCall->Workspace()].inProgress--;
-  switch (aEnd) {
-    case CallEnd::Whole:
+  switch (aOutcome) {
+    case CallOutcome::Complete:
       tally.answered++;
       tally.tokens += aCall->Tokens();
-      if (aCall->Tries() == 1) {
+      if (aCall->Attempts() == 1) {
         tally.firstToken.Add(aCall->FirstTokenMs());
       }
       for (const double gap : aCall->TokenGapsMs()) {
         tally.betweenTokens.Add(gap);
       }
       break;
-    case CallEnd::NotRun:
+    case CallOutcome::NotRun:
       tally.refusedNotRun++;
       break;
-    case CallEnd::MayHaveRun:
+    case CallOutcome::MayHaveRun:
       tally.mayHaveRun++;
       break;
-    case CallEnd::Cut:
+    case CallOutcome::Cut:
       break;
-    case CallEnd::Wrong:
+    case CallOutcome::Wrong:
       tally.wrong++;
       break;
-    case CallEnd::Lost:
+    case CallOutcome::Lost:
       tally.lost++;
       break;
   }
 }
 
 void
-LoadRun::Progress()
+LoadRun::PrintProgress()
 {
   const double now = Seconds();
-  if (isatty(STDERR_FILENO) == 0 || now - m_lastProgress < 0.5) {
+  if (isatty(STDERR_FILENO) == 0 || now - m_lastProgressAt < 0.5) {
     return;
   }
-  m_lastProgress = now;
+  m_lastProgressAt = now;
   std::uint64_t answered = 0;
   for (const auto& tally : m_tallies) {
     answered += tally.answered;
@@ -237,7 +241,7 @@
 }
 
 void
-LoadRun::OpenIdle()
+LoadRun::OpenIdleConnections()
 {
   const auto address = base::ParseAddress(m_plan.routers.front());
   sockaddr_in to{};
@@ -247,13 +251,13 @@
   for (std::uint32_t i = 0; i < m_plan.idleConnections; ++i) {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     if (connect(socket, reinterpret_cast<sockaddr*>(&to), sizeof(to)) == 0) {
-      m_idle.push_back(socket);
+      m_idleSockets.push_back(socket);
     }
   }
 }
 
 void
-LoadRun::CountDoubled()
+LoadRun::CountDoubleRuns()
 {
   for (const auto& upstream : m_plan.upstreams) {
     const auto page =
@@ -265,7 +269,7 @@
       const auto text = key.get<std::string>();
       const auto name = text.substr(0, text.rfind('-'));
       for (const auto& plan : m_plan.workspaces) {
-        m_doubled += plan.name == name && !plan.repeatable ? 1 : 0;
+        m_doubleRuns += plan.name == name && !plan.repeatable ? 1 : 0;
       }
     }
   }
@@ -322,7 +326,7 @@
                 all.mayHaveRun,
                 all.cut,
                 all.lost,
-                m_doubled,
+                m_doubleRuns,
                 all.wrong,
                 all.tokens,
                 aFleet.worstGapSeconds,
@@ -330,7 +334,7 @@
                 aFleet.endGapSeconds,
                 aFleet.utilisation,
                 aFleet.controlBytesPerRouterSecond,
-                aFleet.mostControlBytesPerRouterSecond,
+                aFleet.maxControlBytesPerRouterSecond,
                 aFleet.invariantsBroken,
                 IsGood() ? "good" : "bad");
   return lines;
@@ -339,10 +343,11 @@
 bool
 LoadRun::IsGood() const
 {
-  return m_doubled == 0 &&
-         std::all_of(m_tallies.begin(), m_tallies.end(), [](const Tally& aOne) {
-           return aOne.lost == 0 && aOne.wrong == 0;
-         });
+  return m_doubleRuns == 0 &&
+         std::all_of(
+           m_tallies.begin(), m_tallies.end(), [](const Tally& aItem) {
+             return aItem.lost == 0 && aItem.wrong == 0;
+           });
 }
 
 }
--- a/src/load/loadrun.h
+++ b/src/load/loadrun.h
@@ -15,6 +15,7 @@
 
 namespace hemlockgauge::load {
 
+//! Counters and latencies of one workspace's requests.
 struct Tally
 {
   std::uint64_t asked = 0;
@@ -29,7 +30,7 @@
   metrics::LatencyHistogram betweenTokens;
 };
 
-//! Runs a plan against real routers.
+//! Generates the load of a plan against real routers and checks the responses.
 class LoadRun
 {
 public:
@@ -37,9 +38,10 @@
   ~LoadRun();
 
   void Run();
-  //! One line of key=value pairs for all, and one for each workspace.
+  //! One line of key=value pairs per workspace, and one for the whole run.
   std::string Summary(const FleetSampler::Result& aFleet) const;
-  //! No request lost, answered wrongly or run twice.
+  //! Returns whether no request was lost, answered wrongly or, if it may not be
+  //! repeated, run twice.
   bool IsGood() const;
 
 private:
@@ -49,22 +51,22 @@
     std::uint32_t inProgress = 0;
     std::size_t nextRouter = 0;
   };
-  struct Delayed
+  struct PendingRetry
   {
     double at = 0;
     std::unique_ptr<Call> call;
   };
 
   double Seconds() const;
-  void StartDue();
-  void StartDelayed();
-  void StartOne(std::size_t aWorkspace);
-  void Begin(std::unique_ptr<Call> aCall);
-  void TakeEnded();
-  void Settle(std::unique_ptr<Call> aCall, CallEnd aEnd);
-  void Progress();
-  void OpenIdle();
-  void CountDoubled();
+  void StartDueRequests();
+  void StartDueRetries();
+  void StartRequest(std::size_t aWorkspace);
+  void StartAttempt(std::unique_ptr<Call> aCall);
+  void HandleCompletedAttempts();
+  void HandleOutcome(std::unique_ptr<Call> aCall, CallOutcome aOutcome);
+  void PrintProgress();
+  void OpenIdleConnections();
+  void CountDoubleRuns();
   std::string NextRouter(std::size_t aWorkspace);
 
   const Plan& m_plan;
@@ -74,11 +76,11 @@
   std::vector<Source> m_sources;
   std::vector<Tally> m_tallies;
   std::map<Call*, std::unique_ptr<Call>> m_calls;
-  std::vector<Delayed> m_delayed;
+  std::vector<PendingRetry> m_retries;
   std::uint64_t m_nextSeed = 1;
-  std::uint64_t m_doubled = 0;
-  std::vector<int> m_idle;
-  double m_lastProgress = 0;
+  std::uint64_t m_doubleRuns = 0;
+  std::vector<int> m_idleSockets;
+  double m_lastProgressAt = 0;
 };
 
 }
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -7,7 +7,7 @@
 
 #include <iostream>
 
-DEFINE_string(plan, "", "file with the plan (INI)");
+DEFINE_string(plan, "", "plan file (INI)");
 
 using namespace hemlockgauge;
 
--- a/src/load/plan.cpp
+++ b/src/load/plan.cpp
@@ -25,7 +25,7 @@
 WorkspacePlan
 ReadWorkspace(const INIReader& aIni,
               const std::string& aSection,
-              std::size_t aRouters)
+              std::size_t aRouterCount)
 {
   WorkspacePlan plan;
   const auto number = [&](const char* aKey, double aDefault) {
@@ -53,12 +53,14 @@
   for (const auto& index : SplitList(aIni.Get(aSection, "routers", ""))) {
     plan.routers.push_back(std::stoul(index));
   }
-  const bool tooFar = !plan.routers.empty() && plan.routers.back() >= aRouters;
-  if (plan.key.empty() || plan.path.empty() || tooFar ||
+  const bool hasUnknownRouter =
+    !plan.routers.empty() && plan.routers.back() >= aRouterCount;
+  if (plan.key.empty() || plan.path.empty() || hasUnknownRouter ||
       plan.tokensLow > plan.tokensHigh) {
     throw base::Error(base::ErrorCode::BadValue,
-                      "[" + aSection + "]: expected key, path, routers that " +
-                        "there are and tokens_low <= tokens_high");
+                      "[" + aSection +
+                        "]: expected key, path, indexes of existing " +
+                        "routers and tokens_low <= tokens_high");
   }
   return plan;
 }
@@ -90,8 +92,9 @@
       ReadWorkspace(ini, "workspace:" + name, plan.routers.size()));
   }
   if (plan.routers.empty() || plan.workspaces.empty()) {
-    throw base::Error(base::ErrorCode::BadValue,
-                      aFile + ": expected [load] routers and workspaces");
+    throw base::Error(
+      base::ErrorCode::BadValue,
+      aFile + ": [load] expected at least one of routers and of workspaces");
   }
   return plan;
 }
--- a/src/load/simpleget.h
+++ b/src/load/simpleget.h
@@ -4,7 +4,8 @@
 
 namespace hemlockgauge::load {
 
-//! The body of a GET on IP:PORT; empty if there was no good answer.
+//! Sends a GET request to aAddress (IP:PORT) and returns the body of the
+//! response; empty if the request failed.
 std::string
 SimpleGet(const std::string& aAddress, const std::string& aPath);
 
