--- a/src/eventloop/busymeter.h
+++ b/src/eventloop/busymeter.h
@@ -17,7 +17,7 @@
   }
 
   //! Records a poll without waiting at aNow; aFound: it returned events.
-  void Looked(bool aFound, base::TimePoint aNow)
+  void RecordPoll(bool aFound, base::TimePoint aNow)
   {
     m_now = aNow;
     if (!aFound) {
--- a/src/eventloop/eventloop.cpp
+++ b/src/eventloop/eventloop.cpp
@@ -157,7 +157,7 @@
   std::array<epoll_event, kMaxEventsPerPoll> events;
   int eventCount = epoll_wait(m_epoll, events.data(), kMaxEventsPerPoll, 0);
   m_now = base::MonotonicNow();
-  m_busy.Looked(eventCount > 0, m_now);
+  m_busy.RecordPoll(eventCount > 0, m_now);
   if (eventCount <= 0) {
     eventCount =
       epoll_wait(m_epoll, events.data(), kMaxEventsPerPoll, PollTimeoutMs());
--- a/src/eventloop/tests/busymetertests.cpp
+++ b/src/eventloop/tests/busymetertests.cpp
@@ -10,17 +10,17 @@
 {
   BusyMeter meter(5000ms);
   cr_assert(meter.BusyFor() == 0ms);
-  meter.Looked(true, 5010ms);
+  meter.RecordPoll(true, 5010ms);
   cr_assert(meter.BusyFor() == 10ms);
 }
 
 Test(busymeter, EmptyPollResetsBusyTime)
 {
   BusyMeter meter(900ms);
-  meter.Looked(true, 1000ms);
-  meter.Looked(false, 1010ms);
+  meter.RecordPoll(true, 1000ms);
+  meter.RecordPoll(false, 1010ms);
   cr_assert(meter.BusyFor() == 0ms);
-  meter.Looked(true, 1015ms);
+  meter.RecordPoll(true, 1015ms);
   cr_assert(meter.BusyFor() == 5ms);
 }
 
@@ -28,14 +28,14 @@
 Test(busymeter, GrowsUnderOverloadUntilAPollFindsNothing)
 {
   BusyMeter meter(900ms);
-  meter.Looked(false, 1000ms);
+  meter.RecordPoll(false, 1000ms);
   auto now = 1000ms;
   for (int round = 0; round < 8; ++round) {
     now += 25ms;
-    meter.Looked(true, now);
+    meter.RecordPoll(true, now);
   }
   cr_assert(meter.BusyFor() == 200ms);
-  meter.Looked(false, now + 1ms);
+  meter.RecordPoll(false, now + 1ms);
   cr_assert(meter.BusyFor() == 0ms);
 }
 
@@ -44,7 +44,7 @@
 Test(busymeter, PauseOfTheProcessCountsAsBusy)
 {
   BusyMeter meter(900ms);
-  meter.Looked(false, 1000ms);
-  meter.Looked(true, 4000ms);
+  meter.RecordPoll(false, 1000ms);
+  meter.RecordPoll(true, 4000ms);
   cr_assert(meter.BusyFor() == 3000ms);
 }
--- a/src/metrics/latencyhistogram.h
+++ b/src/metrics/latencyhistogram.h
@@ -40,7 +40,7 @@
   }
 
   //! Number of values in the bins whose upper edge is at most aMillis.
-  std::uint64_t CountUpTo(double aMillis) const
+  std::uint64_t CumulativeCount(double aMillis) const
   {
     std::uint64_t cumulative = 0;
     for (auto&& bin : boost::histogram::indexed(
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -86,7 +86,7 @@
                          kPrefix,
                          name,
                          bound,
-                         latency->CountUpTo(bound));
+                         latency->CumulativeCount(bound));
     }
     out += fmt::format("{0}{1}_bucket{{le=\"+Inf\"}} {2}\n{0}{1}_sum {3}\n"
                        "{0}{1}_count {2}\n",
