--- a/src/soak/soakrun.cpp
+++ b/src/soak/soakrun.cpp
@@ -29,7 +29,7 @@
 constexpr base::Duration kLeavingBound = 6000ms;
 constexpr base::Duration kRevocationBound = 5000ms;
 constexpr base::Duration kMachineSlack = 1500ms;
-constexpr base::Duration kCalmTime = 3000ms;
+constexpr base::Duration kFaultFreeTime = 3000ms;
 constexpr base::Duration kGracePeriod = 8000ms;
 //! After the fault time: first the time to recover, then the time in which the
 //! ratio of served requests is checked.
@@ -211,8 +211,8 @@
     std::make_unique<standins::WorkerStandin>(m_loop, settings);
   upstream->proxy = std::make_unique<ChaosProxy>(
     m_loop, LocalAddress(60 + slot), LocalAddress(20 + slot));
-  auto& kept = *upstream;
-  kept.worker->SetJudge([this](const standins::WorkerRun& aRun) {
+  auto& added = *upstream;
+  added.worker->SetJudge([this](const standins::WorkerRun& aRun) {
     if (CrashingCaller::IsCrashingRequest(aRun.target)) {
       return HasFreePorts() ? Misbehaviour::Crash
                             : Misbehaviour::CloseUnanswered;
@@ -226,14 +226,14 @@
   });
   // After a crash the proxy must stop listening too: otherwise it would accept
   // connections to a process that has ended.
-  kept.worker->SetOnCrash([&kept] { kept.proxy->Close(); });
-  kept.worker->SetObserver(
-    [this, &kept](const standins::WorkerRun& aRun) { OnRun(kept, aRun); });
+  added.worker->SetOnCrash([&added] { added.proxy->Close(); });
+  added.worker->SetObserver(
+    [this, &added](const standins::WorkerRun& aRun) { OnRun(added, aRun); });
   if (aColdFor > 0ms) {
-    m_warmAt[kept.id] = m_loop.Now() + aColdFor;
-    m_zoneChecks.TurnedCold(kept.id, m_warmAt[kept.id]);
+    m_warmAt[added.id] = m_loop.Now() + aColdFor;
+    m_zoneChecks.TurnedCold(added.id, m_warmAt[added.id]);
   }
-  PutEntry(kept, false, aColdFor);
+  PutEntry(added, false, aColdFor);
   m_upstreams.push_back(std::move(upstream));
 }
 
@@ -345,9 +345,10 @@
 }
 
 bool
-SoakRun::IsCalm() const
+SoakRun::HasNoRecentFault() const
 {
-  return m_activeFaults.empty() && m_loop.Now() - m_lastFaultAt > kCalmTime;
+  return m_activeFaults.empty() &&
+         m_loop.Now() - m_lastFaultAt > kFaultFreeTime;
 }
 
 void
@@ -356,14 +357,14 @@
   auto& router = m_routers[aFault.target];
   switch (aFault.kind) {
     case FaultKind::KillRouter:
-      router.calmStop = false; // the kill ends a planned stop early
+      router.faultFreeStop = false; // the kill ends a planned stop early
       router.process->Signal(SIGKILL);
       return;
     case FaultKind::PauseRouter:
       router.process->Signal(SIGSTOP);
       return;
     case FaultKind::StopRouter:
-      router.calmStop = IsCalm();
+      router.faultFreeStop = HasNoRecentFault();
       router.stopping = true;
       router.process->Signal(SIGTERM);
       return;
@@ -560,7 +561,7 @@
     auto& router = m_routers[i];
     int exit = 0;
     if (router.process->HasEnded(exit)) {
-      if (router.stopping && router.calmStop) {
+      if (router.stopping && router.faultFreeStop) {
         m_guarantees.Check(
           Guarantee::GracefulStop,
           exit == 0,
--- a/src/soak/soakrun.h
+++ b/src/soak/soakrun.h
@@ -61,7 +61,7 @@
     std::unique_ptr<RouterProcess> process;
     base::TimePoint startAt{}; //!< time of the next start; 0 if none is due
     bool stopping = false;
-    bool calmStop = false; //!< no recent fault when the stop was requested
+    bool faultFreeStop = false; //!< no recent fault when the stop was requested
   };
 
   base::Address LocalAddress(int aOffset) const;
@@ -90,7 +90,7 @@
   void OnRun(const Upstream& aUpstream, const standins::WorkerRun& aRun);
   void RunUntil(base::TimePoint aUntil);
   void CheckGracefulStop();
-  bool IsCalm() const;
+  bool HasNoRecentFault() const;
 
   SoakSettings m_settings;
   std::string m_directory;
