--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -1,5 +1,6 @@
-// A stand-in for a model engine: admits every request as it comes, batches
-// continuously, streams tokens as server-sent events, resumes and cancels.
+// A test double of a model engine: accepts every request at once, runs all of
+// them concurrently, streams tokens as server-sent events, and lets a caller
+// resume or cancel a stream.
 
 #include "standins/expectedanswer.h"
 #include "standins/faults.h"
@@ -19,13 +20,21 @@
 #include <thread>
 
 DEFINE_string(listen, "127.0.0.1:9000", "IP:PORT to serve on");
-DEFINE_int32(slots, 8, "requests it runs at full speed");
-DEFINE_int32(token_ms, 10, "time between tokens at full speed");
-DEFINE_int32(prefill_ms, 20, "time to the first token without a cached prefix");
-DEFINE_int32(cache, 64, "prompt prefixes that the cache holds");
-DEFINE_int32(load_lag_ms, 500, "age of the load it reports");
-DEFINE_int32(late_ms, 3000, "how late a late answer is");
-DEFINE_bool(refuse_old_fencing, true, "refuse orders with an old number");
+DEFINE_int32(slots,
+             8,
+             "number of requests that run concurrently at full speed");
+DEFINE_int32(token_ms, 10, "milliseconds between tokens at full speed");
+DEFINE_int32(prefill_ms,
+             20,
+             "milliseconds to the first token if the prefix is not cached");
+DEFINE_int32(cache, 64, "capacity of the prefix cache, in prompt prefixes");
+DEFINE_int32(load_lag_ms,
+             500,
+             "minimum interval in ms between updates of the reported load");
+DEFINE_int32(late_ms, 3000, "delay in ms of an answer with the fault \"late\"");
+DEFINE_bool(refuse_old_fencing,
+            true,
+            "refuse orders with an outdated fencing number");
 
 using namespace hemlockgauge;
 using namespace hemlockgauge::standins;
@@ -33,8 +42,8 @@
 
 namespace {
 
-constexpr std::size_t kPrefixBytes = 64;
-constexpr auto kKeepFinished = 30s;
+constexpr std::size_t kPrefixKeyBytes = 64;
+constexpr auto kFinishedRunTtl = 30s;
 
 struct Run
 {
@@ -60,10 +69,10 @@
   HttpResponse Runs();
   HttpResponse StreamFrom(std::shared_ptr<Run> aRun,
                           const std::string& aId,
-                          std::uint64_t aFrom);
-  void Produce(const std::shared_ptr<Run>& aRun,
-               const std::string& aId,
-               bool aCached);
+                          std::uint64_t aStartToken);
+  void ProduceTokens(const std::shared_ptr<Run>& aRun,
+                     const std::string& aId,
+                     bool aIsPrefixCached);
   bool TouchPrefix(const std::string& aPrompt);
 
   std::mutex m_mutex;
@@ -71,16 +80,16 @@
   std::map<std::string, int> m_runsByKey;
   std::deque<std::string> m_prefixes;
   std::atomic<int> m_running{ 0 };
-  std::atomic<int> m_mostRunning{ 0 };
-  int m_reported = 0;
-  std::chrono::steady_clock::time_point m_reportedAt{};
+  std::atomic<int> m_maxRunning{ 0 };
+  int m_reportedRunning = 0;
+  std::chrono::steady_clock::time_point m_loadReportedAt{};
   std::atomic<bool> m_leaving{ false };
-  std::uint64_t m_fencing = 0;
+  std::uint64_t m_maxFencing = 0;
   Faults m_faults;
 };
 
 HttpResponse
-Status(int aStatus, const std::string& aBody = "")
+MakeResponse(int aStatus, const std::string& aBody = "")
 {
   HttpResponse response;
   response.status = aStatus;
@@ -103,10 +112,10 @@
   }
   if (aRequest.path == "/-/leaving") {
     m_leaving = true;
-    return Status(200);
+    return MakeResponse(200);
   }
   if (aRequest.path == "/-/fault") {
-    return Status(OrderFault(m_faults, aRequest.query) ? 200 : 400);
+    return MakeResponse(OrderFault(m_faults, aRequest.query) ? 200 : 400);
   }
   if (aRequest.path.starts_with(kStreams)) {
     const auto id = aRequest.path.substr(kStreams.size());
@@ -120,30 +129,30 @@
 {
   const std::lock_guard lock(m_mutex);
   const auto now = std::chrono::steady_clock::now();
-  if (now - m_reportedAt >= std::chrono::milliseconds(FLAGS_load_lag_ms)) {
-    m_reportedAt = now;
-    m_reported = m_running;
+  if (now - m_loadReportedAt >= std::chrono::milliseconds(FLAGS_load_lag_ms)) {
+    m_loadReportedAt = now;
+    m_reportedRunning = m_running;
   }
-  return Status(
-    200,
-    nlohmann::json{ { "running", m_reported }, { "leaving", m_leaving.load() } }
-      .dump());
+  return MakeResponse(200,
+                      nlohmann::json{ { "running", m_reportedRunning },
+                                      { "leaving", m_leaving.load() } }
+                        .dump());
 }
 
 HttpResponse
 Engine::Order(const HttpRequest& aRequest)
 {
-  const auto number = nlohmann::json::parse(aRequest.body, nullptr, false);
-  if (!number.is_object() || !number.contains("fencing")) {
-    return Status(400);
+  const auto order = nlohmann::json::parse(aRequest.body, nullptr, false);
+  if (!order.is_object() || !order.contains("fencing")) {
+    return MakeResponse(400);
   }
-  const auto fencing = number["fencing"].get<std::uint64_t>();
+  const auto fencing = order["fencing"].get<std::uint64_t>();
   const std::lock_guard lock(m_mutex);
-  if (FLAGS_refuse_old_fencing && fencing < m_fencing) {
-    return Status(409);
+  if (FLAGS_refuse_old_fencing && fencing < m_maxFencing) {
+    return MakeResponse(409);
   }
-  m_fencing = std::max(m_fencing, fencing);
-  return Status(200);
+  m_maxFencing = std::max(m_maxFencing, fencing);
+  return MakeResponse(200);
 }
 
 HttpResponse
@@ -156,18 +165,18 @@
       doubled.push_back(key);
     }
   }
-  return Status(200,
-                nlohmann::json{ { "keys", m_runsByKey.size() },
-                                { "doubled", doubled },
-                                { "running", m_running.load() },
-                                { "most_running", m_mostRunning.load() } }
-                  .dump());
+  return MakeResponse(200,
+                      nlohmann::json{ { "keys", m_runsByKey.size() },
+                                      { "doubled", doubled },
+                                      { "running", m_running.load() },
+                                      { "most_running", m_maxRunning.load() } }
+                        .dump());
 }
 
 bool
 Engine::TouchPrefix(const std::string& aPrompt)
 {
-  const auto prefix = aPrompt.substr(0, kPrefixBytes);
+  const auto prefix = aPrompt.substr(0, kPrefixKeyBytes);
   const std::lock_guard lock(m_mutex);
   const auto at = std::find(m_prefixes.begin(), m_prefixes.end(), prefix);
   const bool cached = at != m_prefixes.end();
@@ -187,11 +196,11 @@
   const auto idHeader = aRequest.headers.find("x-request-id");
   const auto body = nlohmann::json::parse(aRequest.body, nullptr, false);
   if (idHeader == aRequest.headers.end() || !body.is_object()) {
-    return Status(400, "expected X-Request-Id and a JSON object\n");
+    return MakeResponse(400, "expected X-Request-Id and a JSON object\n");
   }
   const auto id = idHeader->second;
   if (m_leaving || m_faults.Take(FaultKind::Refuse)) {
-    auto refusal = Status(503);
+    auto refusal = MakeResponse(503);
     refusal.headers["X-Not-Run"] = "true";
     refusal.headers["X-Request-Id"] = id;
     if (m_leaving) {
@@ -210,35 +219,39 @@
     m_runsByKey[key == aRequest.headers.end() ? id : key->second]++;
   }
   m_running++;
-  m_mostRunning = std::max(m_mostRunning.load(), m_running.load());
-  std::thread([this, run, id, cached] { Produce(run, id, cached); }).detach();
+  m_maxRunning = std::max(m_maxRunning.load(), m_running.load());
+  std::thread([this, run, id, cached] {
+    ProduceTokens(run, id, cached);
+  }).detach();
   if (m_faults.Take(FaultKind::Drop)) {
     HttpResponse dropped;
     dropped.drop = true;
     return dropped;
   }
   if (m_faults.Take(FaultKind::Fail)) {
-    auto failed = Status(500, "failed\n");
+    auto failed = MakeResponse(500, "failed\n");
     failed.headers["X-Request-Id"] = id;
     return failed;
   }
   return StreamFrom(run, id, 0);
 }
 
-//! Above its slots all its runs slow down alike.
+//! Produces the tokens of one run until it is complete or cancelled. While more
+//! requests run than there are slots, all runs slow down by the same factor.
 void
-Engine::Produce(const std::shared_ptr<Run>& aRun,
-                const std::string& aId,
-                bool aCached)
+Engine::ProduceTokens(const std::shared_ptr<Run>& aRun,
+                      const std::string& aId,
+                      bool aIsPrefixCached)
 {
-  const auto slowed = [&](int aMs) {
+  const auto scaledDelay = [&](int aMs) {
     const double factor =
       std::max(1.0, static_cast<double>(m_running) / FLAGS_slots);
     return std::chrono::microseconds(
       static_cast<std::int64_t>(aMs * 1000 * factor));
   };
-  auto next = std::chrono::steady_clock::now() +
-              slowed(aCached ? FLAGS_prefill_ms / 4 : FLAGS_prefill_ms);
+  auto next =
+    std::chrono::steady_clock::now() +
+    scaledDelay(aIsPrefixCached ? FLAGS_prefill_ms / 4 : FLAGS_prefill_ms);
   while (true) {
     std::this_thread::sleep_until(next);
     const std::lock_guard lock(aRun->mutex);
@@ -247,10 +260,10 @@
     }
     aRun->produced++;
     aRun->changed.notify_all();
-    next += slowed(FLAGS_token_ms);
+    next += scaledDelay(FLAGS_token_ms);
   }
   m_running--;
-  std::this_thread::sleep_for(kKeepFinished);
+  std::this_thread::sleep_for(kFinishedRunTtl);
   const std::lock_guard lock(m_mutex);
   m_runs.erase(aId);
 }
@@ -262,7 +275,7 @@
   const std::lock_guard lock(m_mutex);
   const auto found = m_runs.find(aId);
   if (found == m_runs.end()) {
-    auto unknown = Status(404);
+    auto unknown = MakeResponse(404);
     unknown.headers["X-Request-Id"] = aId;
     return unknown;
   }
@@ -278,18 +291,18 @@
   const std::lock_guard lock(m_mutex);
   const auto found = m_runs.find(aId);
   if (found == m_runs.end()) {
-    return Status(404);
+    return MakeResponse(404);
   }
   const std::lock_guard runLock(found->second->mutex);
   found->second->cancelled = true;
   found->second->changed.notify_all();
-  return Status(200);
+  return MakeResponse(200);
 }
 
 HttpResponse
 Engine::StreamFrom(std::shared_ptr<Run> aRun,
                    const std::string& aId,
-                   std::uint64_t aFrom)
+                   std::uint64_t aStartToken)
 {
   struct Cursor
   {
@@ -301,7 +314,7 @@
     bool crossEvent = false;
   };
   auto cursor = std::make_shared<Cursor>();
-  cursor->offset = aFrom;
+  cursor->offset = aStartToken;
   cursor->silent = m_faults.Take(FaultKind::Silence);
   cursor->truncated = m_faults.Take(FaultKind::Truncate);
   cursor->late = m_faults.Take(FaultKind::Late);
@@ -310,8 +323,8 @@
   response.headers["Content-Type"] = "text/event-stream";
   response.headers["X-Request-Id"] =
     m_faults.Take(FaultKind::Cross) ? "other-1" : aId;
-  response.stream = [aRun, aId, cursor, aFrom]() -> Chunk {
-    const auto middle = aFrom + (aRun->tokens - aFrom) / 2;
+  response.stream = [aRun, aId, cursor, aStartToken]() -> Chunk {
+    const auto middle = aStartToken + (aRun->tokens - aStartToken) / 2;
     if (cursor->done) {
       return {};
     }
--- a/standins/expectedanswer.h
+++ b/standins/expectedanswer.h
@@ -5,11 +5,12 @@
 
 namespace hemlockgauge::standins {
 
-//! Token aIndex of the answer to aSeed; the same for engine and caller.
+//! Returns token aIndex of the stream that the engine generates for aSeed. Load
+//! generators call it as well, to verify the answers that they receive.
 std::string
 ExpectedToken(std::uint64_t aSeed, std::uint64_t aIndex);
 
-//! The whole answer of the plain service to aSeed.
+//! Returns the complete answer body of the plain service for aSeed.
 std::string
 ExpectedPlainAnswer(std::uint64_t aSeed);
 
--- a/standins/faults.cpp
+++ b/standins/faults.cpp
@@ -8,18 +8,18 @@
 Faults::Order(FaultKind aKind, int aCount)
 {
   const std::lock_guard lock(m_mutex);
-  m_left[aKind] = aCount;
+  m_remaining[aKind] = aCount;
 }
 
 bool
 Faults::Take(FaultKind aKind)
 {
   const std::lock_guard lock(m_mutex);
-  auto& left = m_left[aKind];
-  if (left <= 0) {
+  auto& remaining = m_remaining[aKind];
+  if (remaining <= 0) {
     return false;
   }
-  left--;
+  remaining--;
   return true;
 }
 
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -10,15 +10,15 @@
 
 enum class FaultKind
 {
-  Die,        //!< the process ends at once
-  Silence,    //!< one answer stops in the middle, its connection stays open
-  Late,       //!< one answer comes late
-  Cross,      //!< one answer carries another request's id
-  CrossEvent, //!< one event in a stream carries another request's id
-  Truncate,   //!< one answer is cut in the middle
-  Drop,       //!< the connection closes after the request was read and run
-  Refuse,     //!< answers 503 with X-Not-Run
-  Fail        //!< answers 500
+  Die,        //!< the process exits immediately
+  Silence,    //!< the answer stops halfway, its connection stays open
+  Late,       //!< the answer is delayed
+  Cross,      //!< the answer carries the id of another request
+  CrossEvent, //!< events of a stream carry the id of another request
+  Truncate,   //!< the connection closes halfway through the answer
+  Drop,       //!< the request runs, then the connection closes unanswered
+  Refuse,     //!< the answer is 503 with X-Not-Run
+  Fail        //!< the answer is 500
 };
 
 inline constexpr auto kFaultKindNames =
@@ -32,20 +32,21 @@
                                  "refuse",
                                  "fail");
 
-//! Faults that were ordered, each for a number of answers.
+//! Injected faults: for each kind, the number of answers still to be affected.
 class Faults
 {
 public:
   void Order(FaultKind aKind, int aCount);
-  //! True if this answer shall have the fault; counts it down.
+  //! Returns true if this answer must have the fault, and decrements the count.
   bool Take(FaultKind aKind);
 
 private:
   std::mutex m_mutex;
-  std::map<FaultKind, int> m_left;
+  std::map<FaultKind, int> m_remaining;
 };
 
-//! Takes "kind=NAME&count=N"; false if there is no such kind.
+//! Injects the fault of the query "kind=NAME&count=N" (default count: 1), or
+//! exits the process for "die". Returns false if the kind is unknown.
 bool
 OrderFault(Faults& aFaults, const std::map<std::string, std::string>& aQuery);
 
--- a/standins/httpserver.cpp
+++ b/standins/httpserver.cpp
@@ -13,16 +13,19 @@
 
 namespace {
 
-constexpr std::size_t kBlockBytes = 65536;
+constexpr std::size_t kStreamBlockBytes = 65536;
 
 struct Stream
 {
   std::function<Chunk()> next;
-  std::string left;
+  std::string unsent;
 };
 
 MHD_Result
-Collect(void* aOut, MHD_ValueKind aKind, const char* aKey, const char* aValue)
+CollectValue(void* aOut,
+             MHD_ValueKind aKind,
+             const char* aKey,
+             const char* aValue)
 {
   std::string key(aKey);
   if (aKind == MHD_HEADER_KIND) {
@@ -37,10 +40,10 @@
 }
 
 ssize_t
-ReadStream(void* aUser, std::uint64_t, char* aBuffer, std::size_t aMost)
+ReadStream(void* aUser, std::uint64_t, char* aBuffer, std::size_t aMaxBytes)
 {
   auto& stream = *static_cast<Stream*>(aUser);
-  if (stream.left.empty()) {
+  if (stream.unsent.empty()) {
     auto chunk = stream.next();
     if (chunk.broken) {
       return MHD_CONTENT_READER_END_WITH_ERROR;
@@ -48,11 +51,11 @@
     if (chunk.bytes.empty()) {
       return MHD_CONTENT_READER_END_OF_STREAM;
     }
-    stream.left = std::move(chunk.bytes);
+    stream.unsent = std::move(chunk.bytes);
   }
-  const auto count = std::min(aMost, stream.left.size());
-  std::copy_n(stream.left.data(), count, aBuffer);
-  stream.left.erase(0, count);
+  const auto count = std::min(aMaxBytes, stream.unsent.size());
+  std::copy_n(stream.unsent.data(), count, aBuffer);
+  stream.unsent.erase(0, count);
   return static_cast<ssize_t>(count);
 }
 
@@ -69,7 +72,7 @@
   if (aAnswer.stream) {
     response = MHD_create_response_from_callback(
       MHD_SIZE_UNKNOWN,
-      kBlockBytes,
+      kStreamBlockBytes,
       &ReadStream,
       new Stream{ aAnswer.stream, aAnswer.body },
       &FreeStream);
@@ -93,20 +96,20 @@
        const char*,
        const char* aBody,
        std::size_t* aBodySize,
-       void** aWork)
+       void** aRequestState)
 {
-  if (*aWork == nullptr) {
+  if (*aRequestState == nullptr) {
     auto request = std::make_unique<HttpRequest>();
     request->method = aMethod;
     request->path = aUrl;
     MHD_get_connection_values(
-      aConnection, MHD_GET_ARGUMENT_KIND, &Collect, &request->query);
+      aConnection, MHD_GET_ARGUMENT_KIND, &CollectValue, &request->query);
     MHD_get_connection_values(
-      aConnection, MHD_HEADER_KIND, &Collect, &request->headers);
-    *aWork = request.release();
+      aConnection, MHD_HEADER_KIND, &CollectValue, &request->headers);
+    *aRequestState = request.release();
     return MHD_YES;
   }
-  auto& request = *static_cast<HttpRequest*>(*aWork);
+  auto& request = *static_cast<HttpRequest*>(*aRequestState);
   if (*aBodySize > 0) {
     request.body.append(aBody, *aBodySize);
     *aBodySize = 0;
@@ -124,10 +127,13 @@
 }
 
 void
-Completed(void*, MHD_Connection*, void** aWork, MHD_RequestTerminationCode)
+DeleteRequest(void*,
+              MHD_Connection*,
+              void** aRequestState,
+              MHD_RequestTerminationCode)
 {
-  delete static_cast<HttpRequest*>(*aWork);
-  *aWork = nullptr;
+  delete static_cast<HttpRequest*>(*aRequestState);
+  *aRequestState = nullptr;
 }
 
 }
@@ -150,7 +156,7 @@
                               MHD_OPTION_SOCK_ADDR,
                               &address,
                               MHD_OPTION_NOTIFY_COMPLETED,
-                              &Completed,
+                              &DeleteRequest,
                               nullptr,
                               MHD_OPTION_THREAD_STACK_SIZE,
                               static_cast<std::size_t>(kStackBytes),
@@ -180,7 +186,7 @@
   const HttpServer server(aAddress, std::move(aHandler));
   int signal = 0;
   sigwait(&stop, &signal);
-  _Exit(0); // streams in progress are of no use any more
+  _Exit(0); // streams in progress need not be completed
 }
 
 }
--- a/standins/httpserver.h
+++ b/standins/httpserver.h
@@ -21,11 +21,11 @@
   std::string body;
 };
 
-//! What a streamed answer does next.
+//! The next part of a streamed body.
 struct Chunk
 {
-  std::string bytes; //!< empty: the stream is over
-  bool broken = false;
+  std::string bytes;   //!< empty: the stream has ended
+  bool broken = false; //!< close the connection before the body is complete
 };
 
 struct HttpResponse
@@ -33,13 +33,13 @@
   int status = 200;
   std::map<std::string, std::string> headers;
   std::string body;
-  //! If set, called again and again for the body; may block.
+  //! If set, supplies the body after `body`, part by part; may block.
   std::function<Chunk()> stream;
-  //! Close the connection without an answer.
+  //! Close the connection without sending a response.
   bool drop = false;
 };
 
-//! A small server with a thread for each connection.
+//! HTTP server with one thread per connection.
 class HttpServer
 {
 public:
@@ -57,7 +57,9 @@
   MHD_Daemon* m_daemon = nullptr;
 };
 
-//! Serves until SIGTERM or SIGINT.
+//! Serves until SIGTERM or SIGINT, then exits the process with status 0 without
+//! completing responses in progress. Throws base::Error(Unreachable) if the
+//! address cannot be bound.
 void
 ServeUntilStopped(const base::Address& aAddress, HttpServer::Handler aHandler);
 
--- a/standins/plain.cpp
+++ b/standins/plain.cpp
@@ -1,5 +1,6 @@
-// A stand-in for a plain service whose calls may not all be repeated: it
-// counts its runs of each idempotency key, so that a double run shows.
+// A test double of a plain service with calls that are not idempotent: it
+// counts the executions per idempotency key, so that duplicate executions are
+// detected.
 
 #include "standins/expectedanswer.h"
 #include "standins/faults.h"
@@ -14,8 +15,8 @@
 #include <thread>
 
 DEFINE_string(listen, "127.0.0.1:9100", "IP:PORT to serve on");
-DEFINE_int32(work_ms, 30, "time that one request takes");
-DEFINE_int32(late_ms, 3000, "how late a late answer is");
+DEFINE_int32(work_ms, 30, "processing time of a request in ms");
+DEFINE_int32(late_ms, 3000, "delay in ms of an answer with the fault \"late\"");
 
 using namespace hemlockgauge;
 using namespace hemlockgauge::standins;
@@ -28,13 +29,13 @@
   HttpResponse Handle(const HttpRequest& aRequest);
 
 private:
-  HttpResponse Work(const HttpRequest& aRequest);
+  HttpResponse RunRequest(const HttpRequest& aRequest);
   HttpResponse Runs();
 
   std::mutex m_mutex;
   std::map<std::string, int> m_runsByKey;
   std::atomic<int> m_running{ 0 };
-  std::atomic<int> m_mostRunning{ 0 };
+  std::atomic<int> m_maxRunning{ 0 };
   std::atomic<bool> m_leaving{ false };
   Faults m_faults;
 };
@@ -60,7 +61,7 @@
     response.status = OrderFault(m_faults, aRequest.query) ? 200 : 400;
     return response;
   }
-  return Work(aRequest);
+  return RunRequest(aRequest);
 }
 
 HttpResponse
@@ -78,13 +79,13 @@
     { "keys", m_runsByKey.size() },
     { "doubled", doubled },
     { "running", m_running.load() },
-    { "most_running", m_mostRunning.load() }
+    { "most_running", m_maxRunning.load() }
   }.dump();
   return response;
 }
 
 HttpResponse
-PlainService::Work(const HttpRequest& aRequest)
+PlainService::RunRequest(const HttpRequest& aRequest)
 {
   HttpResponse response;
   const auto id = aRequest.headers.find("x-request-id");
@@ -107,9 +108,10 @@
     m_runsByKey[key == aRequest.headers.end() ? id->second : key->second]++;
   }
   m_running++;
-  m_mostRunning = std::max(m_mostRunning.load(), m_running.load());
-  const int extra = m_faults.Take(FaultKind::Late) ? FLAGS_late_ms : 0;
-  std::this_thread::sleep_for(std::chrono::milliseconds(FLAGS_work_ms + extra));
+  m_maxRunning = std::max(m_maxRunning.load(), m_running.load());
+  const int lateMs = m_faults.Take(FaultKind::Late) ? FLAGS_late_ms : 0;
+  std::this_thread::sleep_for(
+    std::chrono::milliseconds(FLAGS_work_ms + lateMs));
   m_running--;
   if (m_faults.Take(FaultKind::Drop)) {
     response.drop = true;
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -1,5 +1,6 @@
-// A stand-in for the platform: configuration service and host list, to be
-// read and watched only. What stands under "/-/" is for those who run it.
+// A test double of the platform: a read-only configuration service with
+// watches, and a host list. Tests and scripts control it through the paths
+// under "/-/".
 
 #include "standins/httpserver.h"
 
@@ -15,9 +16,13 @@
 
 DEFINE_string(listen, "127.0.0.1:7000", "IP:PORT to serve on");
 DEFINE_string(hosts, "", "file with the host list (JSON)");
-DEFINE_string(documents, "", "service documents: NAME=FILE,NAME=FILE");
-DEFINE_int32(host_lag_ms, 500, "age of the host list it gives");
-DEFINE_int32(calls_per_second, 2000, "calls it answers a second");
+DEFINE_string(documents, "", "service documents, as NAME=FILE,NAME=FILE");
+DEFINE_int32(host_lag_ms,
+             500,
+             "milliseconds until a change of the host list is published");
+DEFINE_int32(calls_per_second,
+             2000,
+             "calls answered per second; further calls get 429");
 
 using namespace hemlockgauge;
 using namespace hemlockgauge::standins;
@@ -39,36 +44,37 @@
   HttpResponse Handle(const HttpRequest& aRequest);
 
 private:
-  HttpResponse Operate(const HttpRequest& aRequest);
+  HttpResponse HandleAdmin(const HttpRequest& aRequest);
   HttpResponse Watch(const HttpRequest& aRequest);
   HttpResponse ReadDocument(const std::string& aName);
   HttpResponse Hosts();
-  HttpResponse List() const;
+  HttpResponse ListDocuments() const;
   void SetDocument(const std::string& aName, const std::string& aText);
   void SetHosts(const std::string& aText);
-  bool CountCall();
-  const std::map<std::string, Document>& Shown() const
+  //! Counts a call; returns false if the rate limit is exceeded.
+  bool AdmitCall();
+  const std::map<std::string, Document>& VisibleDocuments() const
   {
-    return m_stale ? m_old : m_documents;
+    return m_isStale ? m_staleDocuments : m_documents;
   }
 
   std::mutex m_mutex;
   std::condition_variable m_changed;
   std::map<std::string, Document> m_documents;
-  std::map<std::string, Document> m_old;
+  std::map<std::string, Document> m_staleDocuments;
   std::uint64_t m_version = 1;
-  std::uint64_t m_oldVersion = 1;
-  bool m_stale = false;
-  bool m_down = false;
+  std::uint64_t m_staleVersion = 1;
+  bool m_isStale = false;
+  bool m_isDown = false;
   std::uint64_t m_hostRevision = 0;
   json m_hosts = json::array();
-  json m_hostsShown = json::array();
-  std::uint64_t m_hostRevisionShown = 0;
-  Clock::time_point m_hostsChanged{};
+  json m_publishedHosts = json::array();
+  std::uint64_t m_publishedHostRevision = 0;
+  Clock::time_point m_hostsChangedAt{};
   std::uint64_t m_calls = 0;
-  std::uint64_t m_mostCalls = 0;
+  std::uint64_t m_maxCallsPerSecond = 0;
   std::uint64_t m_callsThisSecond = 0;
-  Clock::time_point m_second{};
+  Clock::time_point m_secondStart{};
 };
 
 std::string
@@ -81,7 +87,7 @@
 }
 
 HttpResponse
-Answer(int aStatus, const std::string& aBody = "")
+MakeResponse(int aStatus, const std::string& aBody = "")
 {
   HttpResponse response;
   response.status = aStatus;
@@ -93,8 +99,8 @@
 {
   if (!FLAGS_hosts.empty()) {
     SetHosts(ReadFile(FLAGS_hosts));
-    m_hostsShown = m_hosts;
-    m_hostRevisionShown = m_hostRevision;
+    m_publishedHosts = m_hosts;
+    m_publishedHostRevision = m_hostRevision;
   }
   std::istringstream list(FLAGS_documents);
   std::string item;
@@ -116,20 +122,20 @@
 {
   m_hosts = json::parse(aText);
   m_hostRevision++;
-  m_hostsChanged = Clock::now();
+  m_hostsChangedAt = Clock::now();
 }
 
 bool
-Platform::CountCall()
+Platform::AdmitCall()
 {
   const auto now = Clock::now();
-  if (now - m_second >= std::chrono::seconds(1)) {
-    m_second = now;
+  if (now - m_secondStart >= std::chrono::seconds(1)) {
+    m_secondStart = now;
     m_callsThisSecond = 0;
   }
   m_calls++;
   m_callsThisSecond++;
-  m_mostCalls = std::max(m_mostCalls, m_callsThisSecond);
+  m_maxCallsPerSecond = std::max(m_maxCallsPerSecond, m_callsThisSecond);
   return m_callsThisSecond <=
          static_cast<std::uint64_t>(FLAGS_calls_per_second);
 }
@@ -138,22 +144,22 @@
 Platform::Handle(const HttpRequest& aRequest)
 {
   if (aRequest.path.starts_with("/-/")) {
-    return Operate(aRequest);
+    return HandleAdmin(aRequest);
   }
   {
     const std::lock_guard lock(m_mutex);
-    if (m_down) {
+    if (m_isDown) {
       HttpResponse dropped;
       dropped.drop = true;
       return dropped;
     }
-    if (!CountCall()) {
-      return Answer(429);
+    if (!AdmitCall()) {
+      return MakeResponse(429);
     }
   }
   const std::string kConfig = "/v1/config/";
   if (aRequest.method != "GET") {
-    return Answer(405, "read only\n");
+    return MakeResponse(405, "read only\n");
   }
   if (aRequest.path == "/v1/watch") {
     return Watch(aRequest);
@@ -163,26 +169,26 @@
   }
   if (aRequest.path == "/v1/config") {
     const std::lock_guard lock(m_mutex);
-    return List();
+    return ListDocuments();
   }
   if (aRequest.path.starts_with(kConfig)) {
     return ReadDocument(aRequest.path.substr(kConfig.size()));
   }
-  return Answer(404);
+  return MakeResponse(404);
 }
 
 HttpResponse
-Platform::Operate(const HttpRequest& aRequest)
+Platform::HandleAdmin(const HttpRequest& aRequest)
 {
   const std::string kDocuments = "/-/documents/";
   const std::lock_guard lock(m_mutex);
   if (aRequest.path.starts_with(kDocuments)) {
     SetDocument(aRequest.path.substr(kDocuments.size()), aRequest.body);
-    return Answer(200, std::to_string(m_version) + "\n");
+    return MakeResponse(200, std::to_string(m_version) + "\n");
   }
   if (aRequest.path == "/-/hosts") {
     SetHosts(aRequest.body);
-    return Answer(200);
+    return MakeResponse(200);
   }
   if (aRequest.path == "/-/host-state") {
     for (auto& host : m_hosts) {
@@ -191,37 +197,38 @@
       }
     }
     m_hostRevision++;
-    m_hostsChanged = Clock::now();
-    return Answer(200);
+    m_hostsChangedAt = Clock::now();
+    return MakeResponse(200);
   }
   if (aRequest.path == "/-/mode") {
     const auto mode = aRequest.query.at("set");
-    m_down = mode == "down";
-    if (mode == "stale" && !m_stale) {
-      m_old = m_documents;
-      m_oldVersion = m_version;
+    m_isDown = mode == "down";
+    if (mode == "stale" && !m_isStale) {
+      m_staleDocuments = m_documents;
+      m_staleVersion = m_version;
     }
-    m_stale = mode == "stale";
+    m_isStale = mode == "stale";
     m_changed.notify_all();
-    return Answer(200);
+    return MakeResponse(200);
   }
   if (aRequest.path == "/-/calls") {
-    return Answer(200,
-                  json{ { "calls", m_calls }, { "most", m_mostCalls } }.dump());
+    return MakeResponse(
+      200,
+      json{ { "calls", m_calls }, { "most", m_maxCallsPerSecond } }.dump());
   }
-  return Answer(404);
+  return MakeResponse(404);
 }
 
 HttpResponse
-Platform::List() const
+Platform::ListDocuments() const
 {
-  json list{ { "version", m_stale ? m_oldVersion : m_version },
+  json list{ { "version", m_isStale ? m_staleVersion : m_version },
              { "documents", json::array() } };
-  for (const auto& [name, document] : Shown()) {
+  for (const auto& [name, document] : VisibleDocuments()) {
     list["documents"].push_back(
       { { "name", name }, { "revision", document.revision } });
   }
-  return Answer(200, list.dump());
+  return MakeResponse(200, list.dump());
 }
 
 HttpResponse
@@ -231,25 +238,25 @@
   const auto wait = std::stoul(aRequest.query.at("wait_ms"));
   std::unique_lock lock(m_mutex);
   m_changed.wait_for(lock, std::chrono::milliseconds(wait), [&] {
-    return m_down || (!m_stale && m_version > after);
+    return m_isDown || (!m_isStale && m_version > after);
   });
-  if (m_down) {
+  if (m_isDown) {
     HttpResponse dropped;
     dropped.drop = true;
     return dropped;
   }
-  return List();
+  return ListDocuments();
 }
 
 HttpResponse
 Platform::ReadDocument(const std::string& aName)
 {
   const std::lock_guard lock(m_mutex);
-  const auto found = Shown().find(aName);
-  if (found == Shown().end()) {
-    return Answer(404);
+  const auto found = VisibleDocuments().find(aName);
+  if (found == VisibleDocuments().end()) {
+    return MakeResponse(404);
   }
-  auto response = Answer(200, found->second.text);
+  auto response = MakeResponse(200, found->second.text);
   response.headers["X-Revision"] = std::to_string(found->second.revision);
   return response;
 }
@@ -259,14 +266,14 @@
 {
   const std::lock_guard lock(m_mutex);
   const auto lag = std::chrono::milliseconds(FLAGS_host_lag_ms);
-  if (Clock::now() - m_hostsChanged >= lag) {
-    m_hostsShown = m_hosts;
-    m_hostRevisionShown = m_hostRevision;
+  if (Clock::now() - m_hostsChangedAt >= lag) {
+    m_publishedHosts = m_hosts;
+    m_publishedHostRevision = m_hostRevision;
   }
-  return Answer(
-    200,
-    json{ { "revision", m_hostRevisionShown }, { "hosts", m_hostsShown } }
-      .dump());
+  return MakeResponse(200,
+                      json{ { "revision", m_publishedHostRevision },
+                            { "hosts", m_publishedHosts } }
+                        .dump());
 }
 
 }
--- a/standins/platformtext.h
+++ b/standins/platformtext.h
@@ -7,7 +7,7 @@
 
 namespace hemlockgauge::standins {
 
-//! A request as a caller of the platform sends it.
+//! The fields of a request in the wire format of the platform's callers.
 struct CallText
 {
   std::string method = "GET";
@@ -15,16 +15,17 @@
   std::string id;
   std::string key;
   std::int64_t deadlineMs = 4000;
-  std::uint32_t promptTokens = 0; //!< 0: not a generation
+  std::uint32_t promptTokens = 0; //!< 0: not a generation request
   std::uint32_t outputTokens = 0;
   std::string promptParts; //!< "ID:TOKENS,..."
   std::string body;
 };
 
+//! Returns the HTTP/1.1 request as sent on the connection.
 std::string
 EncodeCall(const CallText& aCall);
 
-//! Which request an answer names; empty if none.
+//! Returns the attempt id in the headers of an answer; empty if missing.
 std::string
 AnsweredRequest(const http::HeaderList& aHeaders);
 
--- a/standins/storestandin.cpp
+++ b/standins/storestandin.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr base::Duration kTick(5);
-constexpr int kHistoryGone = 410;
+constexpr base::Duration kTickInterval(5);
+constexpr int kStatusGone = 410;
 
-//! The value of a query field; empty if it is not there.
+//! Returns the value of a query parameter; empty if it is missing.
 std::string
 QueryField(const std::string& aTarget, const std::string& aName)
 {
@@ -52,13 +52,13 @@
     m_connections.Add(aStream);
   })
 {
-  m_loop.Subscribe(kTick, [this] { Tick(); });
+  m_loop.Subscribe(kTickInterval, [this] { Tick(); });
 }
 
 StoreStandin::~StoreStandin() = default;
 
 void
-StoreStandin::Record(const std::string& aKey, const std::string& aJson)
+StoreStandin::AppendChange(const std::string& aKey, const std::string& aJson)
 {
   m_content.history.push_back({ aKey, m_content.revision, aJson });
 }
@@ -70,13 +70,13 @@
   item.data = aData;
   item.revision = ++m_content.revision;
   item.created = item.created == 0 ? m_content.revision : item.created;
-  Record(aKey,
-         json{ { "key", aKey },
-               { "data", EncodeBase64(aData) },
-               { "revision", item.revision },
-               { "created", item.created },
-               { "leaseId", 0 } }
-           .dump());
+  AppendChange(aKey,
+               json{ { "key", aKey },
+                     { "data", EncodeBase64(aData) },
+                     { "revision", item.revision },
+                     { "created", item.created },
+                     { "leaseId", 0 } }
+                 .dump());
 }
 
 void
@@ -86,11 +86,11 @@
     return;
   }
   ++m_content.revision;
-  Record(aKey,
-         json{ { "key", aKey },
-               { "revision", m_content.revision },
-               { "deleted", true } }
-           .dump());
+  AppendChange(aKey,
+               json{ { "key", aKey },
+                     { "revision", m_content.revision },
+                     { "deleted", true } }
+                 .dump());
 }
 
 void
@@ -135,19 +135,19 @@
 StoreStandin::ForgetHistory()
 {
   m_content.history.clear();
-  m_content.oldest = m_content.revision;
+  m_content.oldestRevision = m_content.revision;
 }
 
 void
 StoreStandin::TakeCopy()
 {
-  m_copy = m_content;
+  m_backup = m_content;
 }
 
 void
 StoreStandin::Restore()
 {
-  m_content = m_copy;
+  m_content = m_backup;
   m_era++;
 }
 
@@ -172,25 +172,26 @@
   const auto wait = isWatch ? base::Duration(static_cast<std::int64_t>(
                                 QueryNumber(aHead.target, "waitMs")))
                             : base::Duration{};
-  m_waiting.push_back({ &aConnection,
-                        aHead.target,
-                        m_loop.Now() + wait + faults.delay,
-                        isWatch });
+  m_pendingCalls.push_back({ &aConnection,
+                             aHead.target,
+                             m_loop.Now() + wait + faults.delay,
+                             isWatch });
   Tick();
 }
 
 bool
-StoreStandin::KnowsSince(std::uint64_t aRevision) const
+StoreStandin::HasHistorySince(std::uint64_t aRevision) const
 {
-  return aRevision >= m_content.oldest && aRevision <= m_content.revision;
+  return aRevision >= m_content.oldestRevision &&
+         aRevision <= m_content.revision;
 }
 
 bool
-StoreStandin::HasNews(const Waiting& aWaiting) const
+StoreStandin::HasChanges(const PendingCall& aCall) const
 {
-  const auto after = QueryNumber(aWaiting.target, "after");
-  const auto prefix = QueryField(aWaiting.target, "prefix");
-  return !KnowsSince(after) ||
+  const auto after = QueryNumber(aCall.target, "after");
+  const auto prefix = QueryField(aCall.target, "prefix");
+  return !HasHistorySince(after) ||
          std::any_of(m_content.history.begin(),
                      m_content.history.end(),
                      [&](const Change& aChange) {
@@ -203,18 +204,18 @@
 StoreStandin::Tick()
 {
   const auto now = m_loop.Now();
-  std::vector<Waiting> due;
-  std::erase_if(m_waiting, [&](const Waiting& aWaiting) {
-    const bool news =
-      aWaiting.isWatch && faults.delay == base::Duration{} && HasNews(aWaiting);
-    if (now < aWaiting.dueAt && !news) {
+  std::vector<PendingCall> due;
+  std::erase_if(m_pendingCalls, [&](const PendingCall& aCall) {
+    const bool hasChanges =
+      aCall.isWatch && faults.delay == base::Duration{} && HasChanges(aCall);
+    if (now < aCall.answerAt && !hasChanges) {
       return false;
     }
-    due.push_back(aWaiting);
+    due.push_back(aCall);
     return true;
   });
-  for (const auto& one : due) {
-    Answer(*one.connection, one.target);
+  for (const auto& call : due) {
+    Answer(*call.connection, call.target);
   }
 }
 
@@ -226,8 +227,8 @@
     Send(aConnection, 200, RangeBody(aTarget));
   } else if (!aTarget.starts_with("/api/kv-watch")) {
     Send(aConnection, 404, "");
-  } else if (!KnowsSince(QueryNumber(aTarget, "after"))) {
-    Send(aConnection, kHistoryGone, "");
+  } else if (!HasHistorySince(QueryNumber(aTarget, "after"))) {
+    Send(aConnection, kStatusGone, "");
   } else {
     Send(aConnection, 200, WatchBody(aTarget));
   }
@@ -296,8 +297,8 @@
 void
 StoreStandin::OnPeerGone(http::ServerConnection& aConnection)
 {
-  std::erase_if(m_waiting, [&](const Waiting& aWaiting) {
-    return aWaiting.connection == &aConnection;
+  std::erase_if(m_pendingCalls, [&](const PendingCall& aCall) {
+    return aCall.connection == &aConnection;
   });
 }
 
--- a/standins/storestandin.h
+++ b/standins/storestandin.h
@@ -19,17 +19,17 @@
 
 namespace hemlockgauge::standins {
 
-//! How the store misbehaves at the moment.
+//! The faults that are currently injected into the store.
 struct StoreFaults
 {
-  bool mute = false;             //!< takes calls and never answers
-  int failStatus = 0;            //!< answers every call with this, if not 0
-  std::uint64_t refuseOneIn = 0; //!< so many calls with 429; 0: none
+  bool mute = false;             //!< accepts calls and never answers
+  int failStatus = 0;            //!< status of every answer; 0: no failure
+  std::uint64_t refuseOneIn = 0; //!< every Nth call gets 429; 0: none
   base::Duration delay{};        //!< before each answer
-  std::size_t pageItems = 50;    //!< items in one page of a listing
+  std::size_t pageItems = 50;    //!< maximum items per page of a range
 };
 
-//! What an upstream writes about itself.
+//! The entry that an upstream stores about itself.
 struct StoredEntry
 {
   std::string service;
@@ -37,11 +37,12 @@
   std::string zone;
   std::uint32_t slots = 8;
   std::string state = "ready";
-  base::Duration coldFor{};
+  base::Duration coldFor{}; //!< remaining time until it is warm
 };
 
-//! Stands in for the platform's store: keys, one revision counter, ranges
-//! in pages, watches that wait, a history that can be forgotten.
+//! Test double of the platform's key-value store: one revision counter for all
+//! keys, paged range reads, long-poll watches, and a history of changes that
+//! can be discarded.
 class StoreStandin : public http::IServerEvents
 {
 public:
@@ -50,18 +51,19 @@
 
   void Put(const std::string& aKey, const std::string& aData);
   void Remove(const std::string& aKey);
-  //! The configuration, and the entry of an upstream.
+  //! Writes the configuration of the routers.
   void PutConfig(const std::string& aText);
   void PutUpstream(const std::string& aId, const StoredEntry& aEntry);
   void RemoveUpstream(const std::string& aId);
   void Evacuate(const std::string& aZone);
   void EndEvacuation(const std::string& aZone);
-  //! Watches from before now get 410.
+  //! Discards the history: watches from earlier revisions are answered with
+  //! 410.
   void ForgetHistory();
-  //! All that it holds is kept as a copy.
+  //! Saves the whole content as the backup for Restore().
   void TakeCopy();
-  //! It comes back from the last copy, in a new era: what was written since is
-  //! gone, its revisions are given out again.
+  //! Restores the last backup and begins a new era: all later writes are lost
+  //! and their revisions are assigned again.
   void Restore();
 
   void OnRequest(http::ServerConnection& aConnection,
@@ -91,19 +93,20 @@
     std::string json;
   };
 
-  //! A call that waits: for a change, or for the delay of the faults.
-  struct Waiting
+  //! A call that is not answered yet: a watch without changes, or a call that
+  //! is delayed by StoreFaults::delay.
+  struct PendingCall
   {
     http::ServerConnection* connection = nullptr;
     std::string target;
-    base::TimePoint dueAt{};
+    base::TimePoint answerAt{};
     bool isWatch = false;
   };
 
-  void Record(const std::string& aKey, const std::string& aJson);
+  void AppendChange(const std::string& aKey, const std::string& aJson);
   void Tick();
-  bool KnowsSince(std::uint64_t aRevision) const;
-  bool HasNews(const Waiting& aWaiting) const;
+  bool HasHistorySince(std::uint64_t aRevision) const;
+  bool HasChanges(const PendingCall& aCall) const;
   void Answer(http::ServerConnection& aConnection, const std::string& aTarget);
   void Send(http::ServerConnection& aConnection,
             int aStatus,
@@ -114,7 +117,7 @@
   struct Content
   {
     std::uint64_t revision = 1;
-    std::uint64_t oldest = 1; //!< history before this is forgotten
+    std::uint64_t oldestRevision = 1; //!< changes up to this one are discarded
     std::map<std::string, Item> items;
     std::deque<Change> history;
   };
@@ -122,9 +125,9 @@
   eventloop::EventLoop& m_loop;
   base::CallerLimits m_limits;
   Content m_content;
-  Content m_copy;
+  Content m_backup;
   std::uint64_t m_era = 1;
-  std::vector<Waiting> m_waiting;
+  std::vector<PendingCall> m_pendingCalls;
   http::ConnectionSet m_connections;
   http::Listener m_listener;
 };
--- a/standins/workerstandin.cpp
+++ b/standins/workerstandin.cpp
@@ -13,34 +13,37 @@
 
 namespace {
 
-constexpr base::Duration kTick(2);
-constexpr std::string_view kId = "Hemlockgauge-Attempt-Id";
+constexpr base::Duration kTickInterval(2);
+constexpr std::string_view kAttemptIdField = "Hemlockgauge-Attempt-Id";
 constexpr int kTokensPerEvent = 3;
-constexpr int kMostEvents = 64;
-constexpr std::array<std::string_view, 6> kRouterOnly{ "Hemlockgauge-Retention",
-                                                       "Hemlockgauge-Pin-Ms",
-                                                       "Hemlockgauge-Kv-Backup",
-                                                       "Kv-From",
-                                                       "Kv-Fetch",
-                                                       "Connection" };
+constexpr int kMaxEvents = 64;
+constexpr std::array<std::string_view, 6> kRouterOnlyFields{
+  "Hemlockgauge-Retention",
+  "Hemlockgauge-Pin-Ms",
+  "Hemlockgauge-Kv-Backup",
+  "Kv-From",
+  "Kv-Fetch",
+  "Connection"
+};
 
 std::string
-ValueOr(const http::HeaderList& aHeaders, std::string_view aName)
+ValueOrEmpty(const http::HeaderList& aHeaders, std::string_view aName)
 {
   const auto* value = aHeaders.Find(aName);
   return value == nullptr ? "" : *value;
 }
 
-//! Events of a stream, from "PROMPT,OUTPUT".
+//! Returns the number of events to stream for the token counts
+//! "PROMPT,OUTPUT"; 0 if there are none.
 int
-EventsOf(const std::string& aTokens)
+EventCount(const std::string& aTokens)
 {
   const auto comma = aTokens.find(',');
   if (comma == std::string::npos) {
     return 0;
   }
   const int output = std::stoi(aTokens.substr(comma + 1));
-  return std::clamp(output / kTokensPerEvent, 1, kMostEvents);
+  return std::clamp(output / kTokensPerEvent, 1, kMaxEvents);
 }
 
 std::string
@@ -64,7 +67,7 @@
     m_connections.Add(aStream);
   })
 {
-  m_loop.Subscribe(kTick, [this] { Tick(); });
+  m_loop.Subscribe(kTickInterval, [this] { Tick(); });
 }
 
 WorkerStandin::~WorkerStandin() = default;
@@ -81,40 +84,40 @@
                          std::string&& aBody)
 {
   const auto& headers = aHead.headers;
-  if (ValueOr(headers, "Hemlockgauge-Expect-Instance") != m_settings.id) {
+  if (ValueOrEmpty(headers, "Hemlockgauge-Expect-Instance") != m_settings.id) {
     refusedForId++;
-    SendPlain(aConnection,
-              421,
-              "Hemlockgauge-Instance-Id: " + m_settings.id + "\r\n",
-              "");
+    SendResponse(aConnection,
+                 421,
+                 "Hemlockgauge-Instance-Id: " + m_settings.id + "\r\n",
+                 "");
     return;
   }
   auto run = std::make_unique<WorkerRun>();
-  run->requestId = ValueOr(headers, kId);
+  run->requestId = ValueOrEmpty(headers, kAttemptIdField);
   run->target = aHead.target;
-  run->workspace = ValueOr(headers, "Hemlockgauge-Tenant");
-  run->lastEventId = ValueOr(headers, "Last-Event-Id");
+  run->workspace = ValueOrEmpty(headers, "Hemlockgauge-Tenant");
+  run->lastEventId = ValueOrEmpty(headers, "Last-Event-Id");
   run->body = std::move(aBody);
   run->sawKey = headers.Find("Authorization") != nullptr;
   run->sawOwnField =
-    std::any_of(kRouterOnly.begin(), kRouterOnly.end(), [&](auto aName) {
-      return headers.Find(aName) != nullptr;
-    });
-  const auto deadline = ValueOr(headers, "Hemlockgauge-Deadline-Ms");
+    std::any_of(kRouterOnlyFields.begin(),
+                kRouterOnlyFields.end(),
+                [&](auto aName) { return headers.Find(aName) != nullptr; });
+  const auto deadline = ValueOrEmpty(headers, "Hemlockgauge-Deadline-Ms");
   run->deadlineMs = deadline.empty() ? -1 : std::stoll(deadline);
-  if (IsOverrun()) {
+  if (ExceedsColdLimit()) {
     Crash();
     return;
   }
   const auto misbehaviour = m_judge(*run);
   if (misbehaviour == Misbehaviour::Shed ||
-      m_works.size() >= 4 * std::size_t{ m_settings.slots }) {
-    SendPlain(aConnection,
-              503,
-              fmt::format("Hemlockgauge-Not-Executed: 1\r\n{}: {}\r\n",
-                          kId,
-                          run->requestId),
-              "");
+      m_activeWork.size() >= 4 * std::size_t{ m_settings.slots }) {
+    SendResponse(aConnection,
+                 503,
+                 fmt::format("Hemlockgauge-Not-Executed: 1\r\n{}: {}\r\n",
+                             kAttemptIdField,
+                             run->requestId),
+                 "");
     return;
   }
   Work work;
@@ -123,20 +126,20 @@
   work.misbehaviour = misbehaviour;
   work.nextAt = m_loop.Now() + m_settings.workTime;
   if (m_settings.isEngine) {
-    work.events = EventsOf(ValueOr(headers, "Hemlockgauge-Token-Count"));
+    work.events = EventCount(ValueOrEmpty(headers, "Hemlockgauge-Token-Count"));
     work.sent = run->lastEventId.empty() ? 0 : std::stoi(run->lastEventId);
   }
-  m_works.push_back(work);
+  m_activeWork.push_back(work);
   m_runs.push_back(std::move(run));
   m_observer(*work.run);
 }
 
 std::string
-WorkerStandin::Head(const Work& aWork, int aStatus) const
+WorkerStandin::ResponseHead(const Work& aWork, int aStatus) const
 {
   std::string head;
   http::AppendStatusLine(head, aStatus, aStatus == 200 ? "OK" : "Failure");
-  http::AppendField(head, kId, aWork.run->requestId);
+  http::AppendField(head, kAttemptIdField, aWork.run->requestId);
   if (aWork.misbehaviour != Misbehaviour::NoProof) {
     http::AppendField(
       head,
@@ -144,9 +147,10 @@
       fmt::format("{}/{}", m_settings.id, aWork.run->requestId));
   }
   http::AppendField(head, "Keep-Alive", "timeout=10");
-  http::AppendField(head,
-                    "Hemlockgauge-Instance-Load",
-                    fmt::format("{},0,{}", m_works.size(), m_settings.slots));
+  http::AppendField(
+    head,
+    "Hemlockgauge-Instance-Load",
+    fmt::format("{},0,{}", m_activeWork.size(), m_settings.slots));
   if (aWork.events > 0) {
     http::AppendField(head, "Content-Type", "text/event-stream");
   }
@@ -154,10 +158,10 @@
 }
 
 void
-WorkerStandin::SendPlain(http::ServerConnection& aConnection,
-                         int aStatus,
-                         const std::string& aExtraHead,
-                         const std::string& aBody)
+WorkerStandin::SendResponse(http::ServerConnection& aConnection,
+                            int aStatus,
+                            const std::string& aExtraHead,
+                            const std::string& aBody)
 {
   std::string head;
   http::AppendStatusLine(head, aStatus, "Answer");
@@ -177,7 +181,7 @@
   if (m_onCrash) {
     m_onCrash();
   }
-  m_works.clear();
+  m_activeWork.clear();
   m_listener.Close();
   m_connections.AbortAll();
 }
@@ -195,29 +199,29 @@
 }
 
 bool
-WorkerStandin::IsOverrun()
+WorkerStandin::ExceedsColdLimit()
 {
   constexpr base::Duration kSecond(1000);
   if (m_settings.coldLimit == 0 || !IsCold()) {
     return false;
   }
   const auto now = m_loop.Now();
-  m_taken.push_back(now);
-  std::erase_if(m_taken,
+  m_coldRequestTimes.push_back(now);
+  std::erase_if(m_coldRequestTimes,
                 [&](base::TimePoint aAt) { return now - aAt >= kSecond; });
-  return m_taken.size() > m_settings.coldLimit;
+  return m_coldRequestTimes.size() > m_settings.coldLimit;
 }
 
 void
 WorkerStandin::Tick()
 {
   const auto now = m_loop.Now();
-  for (std::size_t i = 0; i < m_works.size();) {
-    const bool due = now >= m_works[i].nextAt;
-    if (due && Advance(m_works[i])) {
-      auto work = m_works[i];
-      m_works.erase(m_works.begin() + static_cast<std::ptrdiff_t>(i));
-      End(work, false);
+  for (std::size_t i = 0; i < m_activeWork.size();) {
+    const bool due = now >= m_activeWork[i].nextAt;
+    if (due && Advance(m_activeWork[i])) {
+      auto work = m_activeWork[i];
+      m_activeWork.erase(m_activeWork.begin() + static_cast<std::ptrdiff_t>(i));
+      EndRun(work, false);
     } else {
       ++i;
     }
@@ -242,7 +246,8 @@
       aWork.connection->EndAnswer();
       return true;
     case Misbehaviour::Fail:
-      aWork.connection->BeginAnswer(Head(aWork, 500), Framing::Length, 0);
+      aWork.connection->BeginAnswer(
+        ResponseHead(aWork, 500), Framing::Length, 0);
       aWork.connection->EndAnswer();
       return true;
     default:
@@ -260,18 +265,19 @@
                      "\r\nother";
   if (aWork.misbehaviour == Misbehaviour::NoLength) {
     connection.CloseAfterAnswer();
-    connection.BeginAnswer(Head(aWork, 200), Framing::UntilClose);
+    connection.BeginAnswer(ResponseHead(aWork, 200), Framing::UntilClose);
     connection.Write(body);
     connection.EndAnswer();
     return true;
   }
   if (aWork.misbehaviour == Misbehaviour::BreakOff) {
-    connection.BeginAnswer(Head(aWork, 200), Framing::Length, body.size() + 9);
+    connection.BeginAnswer(
+      ResponseHead(aWork, 200), Framing::Length, body.size() + 9);
     connection.Write(body);
     connection.Abort();
     return true;
   }
-  auto bytes = Head(aWork, 200);
+  auto bytes = ResponseHead(aWork, 200);
   http::AppendNumberField(bytes, "Content-Length", body.size());
   if (aWork.misbehaviour == Misbehaviour::ForeignAnswer) {
     bytes = other + bytes;
@@ -289,13 +295,13 @@
 WorkerStandin::AdvanceStream(Work& aWork)
 {
   auto& connection = *aWork.connection;
-  if (!aWork.begun) {
-    aWork.begun = true;
-    connection.BeginAnswer(Head(aWork, 200), Framing::Chunked);
+  if (!aWork.headSent) {
+    aWork.headSent = true;
+    connection.BeginAnswer(ResponseHead(aWork, 200), Framing::Chunked);
   }
   const auto text = EventText(aWork.run->requestId, aWork.sent + 1);
-  const bool halfWay = aWork.sent >= aWork.events / 2;
-  if (aWork.misbehaviour == Misbehaviour::BreakOff && halfWay) {
+  const bool isHalfSent = aWork.sent >= aWork.events / 2;
+  if (aWork.misbehaviour == Misbehaviour::BreakOff && isHalfSent) {
     connection.Write(text.substr(0, text.size() / 2));
     connection.Abort();
     return true;
@@ -312,7 +318,7 @@
 }
 
 void
-WorkerStandin::End(Work& aWork, bool aCancelled)
+WorkerStandin::EndRun(Work& aWork, bool aCancelled)
 {
   aWork.run->ended = true;
   aWork.run->cancelled = aCancelled;
@@ -322,17 +328,17 @@
 void
 WorkerStandin::OnBadRequest(http::ServerConnection& aConnection, http::Fault)
 {
-  SendPlain(aConnection, 400, "", "");
+  SendResponse(aConnection, 400, "", "");
 }
 
 void
 WorkerStandin::OnPeerGone(http::ServerConnection& aConnection)
 {
-  for (std::size_t i = 0; i < m_works.size(); ++i) {
-    if (m_works[i].connection == &aConnection) {
-      auto work = m_works[i];
-      m_works.erase(m_works.begin() + static_cast<std::ptrdiff_t>(i));
-      End(work, true);
+  for (std::size_t i = 0; i < m_activeWork.size(); ++i) {
+    if (m_activeWork[i].connection == &aConnection) {
+      auto work = m_activeWork[i];
+      m_activeWork.erase(m_activeWork.begin() + static_cast<std::ptrdiff_t>(i));
+      EndRun(work, true);
       return;
     }
   }
--- a/standins/workerstandin.h
+++ b/standins/workerstandin.h
@@ -21,21 +21,21 @@
 
 namespace hemlockgauge::standins {
 
-//! What a worker does wrong with one request.
+//! The fault that a worker injects into the handling of one request.
 enum class Misbehaviour : std::uint8_t
 {
   None,
-  Shed,            //!< says that it ran nothing
-  Fail,            //!< its own failure after running
-  CloseUnanswered, //!< runs it and closes without an answer
-  BreakOff,        //!< stops in the middle of its answer
-  Mute,            //!< runs it and never answers
-  ExtraAnswer,     //!< a second answer to something else behind its own
-  ForeignAnswer,   //!< an answer to something else before its own
-  NoLength,        //!< an answer that ends with its connection
-  NoProof,         //!< a success without the proof
-  Rubbish,         //!< bytes that are no answer
-  Crash            //!< the worker ends; so do all its connections
+  Shed,            //!< answers that it has not run the request
+  Fail,            //!< answers 500 after running the request
+  CloseUnanswered, //!< runs the request, closes without an answer
+  BreakOff,        //!< closes the connection within its answer
+  Mute,            //!< runs the request and never answers
+  ExtraAnswer,     //!< sends another request's answer after its own
+  ForeignAnswer,   //!< sends another request's answer before its own
+  NoLength,        //!< the answer ends when the connection closes
+  NoProof,         //!< a successful answer without Response-Seal
+  Rubbish,         //!< bytes that are not an HTTP response
+  Crash            //!< the worker and all its connections end
 };
 inline constexpr auto kMisbehaviourNames =
   base::MakeEnumNames<Misbehaviour>("none",
@@ -51,7 +51,7 @@
                                     "rubbish",
                                     "crash");
 
-//! One run of a request, as the worker saw it.
+//! One execution of a request, as observed by the worker.
 struct WorkerRun
 {
   std::string requestId;
@@ -60,8 +60,8 @@
   std::string body;
   std::string lastEventId;
   std::int64_t deadlineMs = -1;
-  bool sawKey = false;      //!< a caller's key was passed on
-  bool sawOwnField = false; //!< a field that only the router may set came
+  bool sawKey = false;      //!< the router forwarded a caller's key
+  bool sawOwnField = false; //!< the router forwarded a router-only field
   bool ended = false;
   bool cancelled = false;
 };
@@ -72,12 +72,13 @@
   base::Address listen;
   std::uint32_t slots = 8;
   bool isEngine = false;
-  base::Duration workTime{ 5 }; //!< until the first byte, and per event
-  //! Requests in any second under which it crashes while it is cold; 0: none.
+  base::Duration workTime{ 5 }; //!< to the first byte, and per event
+  //! While cold, the worker crashes if it receives more requests than this
+  //! within one second; 0: no limit.
   std::uint32_t coldLimit = 0;
 };
 
-//! Stands in for a model engine or a plain service of the platform.
+//! Test double of a model engine or a plain service of the platform.
 class WorkerStandin : public http::IServerEvents
 {
 public:
@@ -87,15 +88,15 @@
   WorkerStandin(eventloop::EventLoop& aLoop, const WorkerSettings& aSettings);
   ~WorkerStandin() override;
 
-  //! Asked once for each request, before it runs.
+  //! aJudge chooses the fault of each request, before the request runs.
   void SetJudge(Judge aJudge) { m_judge = std::move(aJudge); }
-  //! Told at each run's begin and end.
+  //! aObserver is called when a run begins and when it ends.
   void SetObserver(Observer aObserver) { m_observer = std::move(aObserver); }
   const std::vector<std::unique_ptr<WorkerRun>>& Runs() const { return m_runs; }
   std::size_t Connections() const { return m_connections.Size(); }
-  //! Ends as a process does: nothing is answered, and nothing listens.
+  //! Simulates a process crash: aborts all connections and closes the listener.
   void Crash();
-  //! Told at once, before any connection ends.
+  //! aOnCrash is called by Crash(), before any connection is aborted.
   void SetOnCrash(std::function<void()> aOnCrash)
   {
     m_onCrash = std::move(aOnCrash);
@@ -104,7 +105,8 @@
   void TurnCold(base::Duration aFor);
   bool IsCold() const;
 
-  //! The body of a plain answer, or the data of an event (from 1).
+  //! Returns the data of event aEvent (from 1) of a stream, or the body of a
+  //! plain answer (aEvent is 0).
   static std::string AnswerText(const std::string& aRequestId, int aEvent);
 
   void OnRequest(http::ServerConnection& aConnection,
@@ -125,23 +127,24 @@
     WorkerRun* run = nullptr;
     Misbehaviour misbehaviour = Misbehaviour::None;
     base::TimePoint nextAt{};
-    int events = 0; //!< of a stream; 0: a plain answer
-    int sent = 0;   //!< the last event sent
-    bool begun = false;
+    int events = 0; //!< number of events to stream; 0: plain answer
+    int sent = 0;   //!< number of the last event sent
+    bool headSent = false;
   };
 
   void Tick();
-  bool IsOverrun();
-  //! Returns true when the run is over.
+  //! Counts a request; returns true if it exceeds WorkerSettings::coldLimit.
+  bool ExceedsColdLimit();
+  //! Performs the next step of a run; returns true when the run has ended.
   bool Advance(Work& aWork);
   bool AdvancePlain(Work& aWork);
   bool AdvanceStream(Work& aWork);
-  void SendPlain(http::ServerConnection& aConnection,
-                 int aStatus,
-                 const std::string& aExtraHead,
-                 const std::string& aBody);
-  std::string Head(const Work& aWork, int aStatus) const;
-  void End(Work& aWork, bool aCancelled);
+  void SendResponse(http::ServerConnection& aConnection,
+                    int aStatus,
+                    const std::string& aExtraHead,
+                    const std::string& aBody);
+  std::string ResponseHead(const Work& aWork, int aStatus) const;
+  void EndRun(Work& aWork, bool aCancelled);
 
   eventloop::EventLoop& m_loop;
   WorkerSettings m_settings;
@@ -150,12 +153,12 @@
   std::function<void()> m_onCrash;
   base::CallerLimits m_limits;
   std::vector<std::unique_ptr<WorkerRun>> m_runs;
-  std::vector<Work> m_works;
+  std::vector<Work> m_activeWork;
   http::ConnectionSet m_connections;
   http::Listener m_listener;
   bool m_crashed = false;
   base::TimePoint m_coldUntil{ base::TimePoint::min() / 2 };
-  std::deque<base::TimePoint> m_taken; //!< while cold, in the last second
+  std::deque<base::TimePoint> m_coldRequestTimes; //!< within the last second
 };
 
 }
