--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,8 +1,8 @@
-# Shell functions that start and stop a small fleet on loopback. To be
-# sourced; FLEET_DIR, FLEET_BIN must be set. Every process started is
-# remembered by its id, and only those are ever ended.
+# Shell functions that start and stop a small fleet on loopback. Source this file
+# after setting FLEET_DIR (working directory) and FLEET_BIN (programs). The ids of
+# all started processes are recorded, and only these processes are ended.
 
-# Ports count from here; two fleets at once need two bases.
+# First port of the fleet; fleets that run at the same time need different bases.
 FLEET_BASE=${FLEET_BASE:-7000}
 FLEET_PIDS=()
 declare -A FLEET_PID
@@ -21,25 +21,25 @@
     curl -sf -o /dev/null --noproxy '*' -m 1 "http://$1$2" && return 0
     sleep 0.05
   done
-  echo "nothing good at http://$1$2" >&2
+  echo "no successful response from http://$1$2" >&2
   return 1
 }
 
 fleet_stop() {
   for pid in "${FLEET_PIDS[@]}"; do
-    # One that is gone already is no failure (the scripts run with set -e).
+    # Ignore processes that have ended already (the scripts run with set -e).
     kill -CONT "$pid" 2>/dev/null || true
     kill -KILL "$pid" 2>/dev/null || true
   done
   return 0
 }
 
-# Zones of the routers and upstreams, in turn.
+# Availability zones, assigned to routers and upstreams in round-robin order.
 FLEET_ZONES=(torino-a torino-b milano-c brescia-d)
 
 fleet_zone() { echo "${FLEET_ZONES[$(($1 % ${#FLEET_ZONES[@]}))]}"; }
 
-# Writes hosts.json: ROUTERS routers, ENGINES engines of pool "chat" and
+# Writes hosts.json with ROUTERS routers, ENGINES engines of pool "chat" and
 # PLAINS plain services of pool "portal".
 fleet_hosts() { # ROUTERS ENGINES PLAINS
   local sep="" i
@@ -91,14 +91,16 @@
     --settings="$FLEET_DIR/r$1.ini"
 }
 
-# One workspace of a document; its key is "key-NAME".
+# Prints the section of a workspace in a service document; its API key is
+# "key-NAME".
 fleet_workspace() { # NAME SHARE [EXTRA LINES]
   printf '[workspace:%s]\nshare = %s\nkey_sha256 = %s\n%s\n' "$1" "$2" \
     "$(printf 'key-%s' "$1" | sha256sum | cut -d' ' -f1)" "${3:-}"
 }
 
-# Starts platform, upstreams and routers; the documents must stand as
-# FLEET_DIR/*.doc.ini. ENGINE_FLAGS and PLAIN_FLAGS are passed on.
+# Starts the platform, upstreams and routers, and waits until the routers are
+# ready. The service documents are read from FLEET_DIR/*.doc.ini. ENGINE_FLAGS and
+# PLAIN_FLAGS are passed to the engines and plain services.
 fleet_up() { # ROUTERS ENGINES PLAINS POLICY
   local documents="" file name i
   fleet_hosts "$1" "$2" "$3"
@@ -135,7 +137,7 @@
   echo "$list"
 }
 
-# One workspace of a load plan.
+# Prints the section of a workspace in a load plan.
 fleet_plan_workspace() { # NAME EXTRA-LINES
   printf '[workspace:%s]\nkey = key-%s\n%s\n' "$1" "$1" "$2"
 }
