--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,8 +1,9 @@
-# Shell functions that start and stop a small fleet on loopback. Source this file
-# after setting FLEET_DIR (working directory) and FLEET_BIN (programs). The ids of
-# all started processes are recorded, and only these processes are ended.
+# Shell functions that start and stop a small fleet on loopback. Source this
+# file after setting FLEET_DIR (working directory) and FLEET_BIN (programs). The
+# ids of all started processes are recorded, and only these processes are ended.
 
-# First port of the fleet; fleets that run at the same time need different bases.
+# First port of the fleet; fleets that run at the same time need different
+# bases.
 FLEET_BASE=${FLEET_BASE:-7000}
 FLEET_PIDS=()
 declare -A FLEET_PID
@@ -99,8 +100,8 @@
 }
 
 # Starts the platform, upstreams and routers, and waits until the routers are
-# ready. The service documents are read from FLEET_DIR/*.doc.ini. ENGINE_FLAGS and
-# PLAIN_FLAGS are passed to the engines and plain services.
+# ready. The service documents are read from FLEET_DIR/*.doc.ini. ENGINE_FLAGS
+# and PLAIN_FLAGS are passed to the engines and plain services.
 fleet_up() { # ROUTERS ENGINES PLAINS POLICY
   local documents="" file name i
   fleet_hosts "$1" "$2" "$3"
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -115,7 +115,7 @@
     return MakeResponse(200);
   }
   if (aRequest.path == "/-/fault") {
-    return MakeResponse(OrderFault(m_faults, aRequest.query) ? 200 : 400);
+    return MakeResponse(InjectFault(m_faults, aRequest.query) ? 200 : 400);
   }
   if (aRequest.path.starts_with(kStreams)) {
     const auto id = aRequest.path.substr(kStreams.size());
--- a/standins/faults.cpp
+++ b/standins/faults.cpp
@@ -5,7 +5,7 @@
 namespace hemlockgauge::standins {
 
 void
-Faults::Order(FaultKind aKind, int aCount)
+Faults::Inject(FaultKind aKind, int aCount)
 {
   const std::lock_guard lock(m_mutex);
   m_remaining[aKind] = aCount;
@@ -24,7 +24,7 @@
 }
 
 bool
-OrderFault(Faults& aFaults, const std::map<std::string, std::string>& aQuery)
+InjectFault(Faults& aFaults, const std::map<std::string, std::string>& aQuery)
 {
   const auto kind = aQuery.find("kind");
   const auto count = aQuery.find("count");
@@ -38,8 +38,8 @@
   if (*known == FaultKind::Die) {
     std::_Exit(1);
   }
-  aFaults.Order(*known,
-                count == aQuery.end() ? 1 : std::atoi(count->second.c_str()));
+  aFaults.Inject(*known,
+                 count == aQuery.end() ? 1 : std::atoi(count->second.c_str()));
   return true;
 }
 
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -36,7 +36,8 @@
 class Faults
 {
 public:
-  void Order(FaultKind aKind, int aCount);
+  //! Lets the next aCount answers have the fault.
+  void Inject(FaultKind aKind, int aCount);
   //! Returns true if this answer must have the fault, and decrements the count.
   bool Take(FaultKind aKind);
 
@@ -48,6 +49,6 @@
 //! Injects the fault of the query "kind=NAME&count=N" (default count: 1), or
 //! exits the process for "die". Returns false if the kind is unknown.
 bool
-OrderFault(Faults& aFaults, const std::map<std::string, std::string>& aQuery);
+InjectFault(Faults& aFaults, const std::map<std::string, std::string>& aQuery);
 
 }
--- a/standins/plain.cpp
+++ b/standins/plain.cpp
@@ -58,7 +58,7 @@
     return response;
   }
   if (aRequest.path == "/-/fault") {
-    response.status = OrderFault(m_faults, aRequest.query) ? 200 : 400;
+    response.status = InjectFault(m_faults, aRequest.query) ? 200 : 400;
     return response;
   }
   return RunRequest(aRequest);
--- a/standins/workerstandin.cpp
+++ b/standins/workerstandin.cpp
@@ -60,7 +60,7 @@
                              const WorkerSettings& aSettings)
   : m_loop(aLoop)
   , m_settings(aSettings)
-  , m_judge([](const WorkerRun&) { return Misbehaviour::None; })
+  , m_faultSelector([](const WorkerRun&) { return Misbehaviour::None; })
   , m_observer([](const WorkerRun&) {})
   , m_connections(aLoop, m_limits, *this)
   , m_listener(aLoop, aSettings.listen, [this](const ACE_SOCK_Stream& aStream) {
@@ -109,7 +109,7 @@
     Crash();
     return;
   }
-  const auto misbehaviour = m_judge(*run);
+  const auto misbehaviour = m_faultSelector(*run);
   if (misbehaviour == Misbehaviour::Shed ||
       m_activeWork.size() >= 4 * std::size_t{ m_settings.slots }) {
     SendResponse(aConnection,
--- a/standins/workerstandin.h
+++ b/standins/workerstandin.h
@@ -21,7 +21,7 @@
 
 namespace hemlockgauge::standins {
 
-//! The fault that a worker injects into the handling of one request.
+//! The fault that an upstream injects into the handling of one request.
 enum class Misbehaviour : std::uint8_t
 {
   None,
@@ -35,7 +35,7 @@
   NoLength,        //!< the answer ends when the connection closes
   NoProof,         //!< a successful answer without Response-Seal
   Rubbish,         //!< bytes that are not an HTTP response
-  Crash            //!< the worker and all its connections end
+  Crash            //!< the upstream and all its connections end
 };
 inline constexpr auto kMisbehaviourNames =
   base::MakeEnumNames<Misbehaviour>("none",
@@ -51,7 +51,7 @@
                                     "rubbish",
                                     "crash");
 
-//! One execution of a request, as observed by the worker.
+//! One execution of a request, as observed by the upstream.
 struct WorkerRun
 {
   std::string requestId;
@@ -73,7 +73,7 @@
   std::uint32_t slots = 8;
   bool isEngine = false;
   base::Duration workTime{ 5 }; //!< to the first byte, and per event
-  //! While cold, the worker crashes if it receives more requests than this
+  //! While cold, the upstream crashes if it receives more requests than this
   //! within one second; 0: no limit.
   std::uint32_t coldLimit = 0;
 };
@@ -88,8 +88,8 @@
   WorkerStandin(eventloop::EventLoop& aLoop, const WorkerSettings& aSettings);
   ~WorkerStandin() override;
 
-  //! aJudge chooses the fault of each request, before the request runs.
-  void SetJudge(Judge aJudge) { m_judge = std::move(aJudge); }
+  //! aSelector chooses the fault of each request, before the request runs.
+  void SetJudge(Judge aSelector) { m_faultSelector = std::move(aSelector); }
   //! aObserver is called when a run begins and when it ends.
   void SetObserver(Observer aObserver) { m_observer = std::move(aObserver); }
   const std::vector<std::unique_ptr<WorkerRun>>& Runs() const { return m_runs; }
@@ -148,7 +148,7 @@
 
   eventloop::EventLoop& m_loop;
   WorkerSettings m_settings;
-  Judge m_judge;
+  Judge m_faultSelector;
   Observer m_observer;
   std::function<void()> m_onCrash;
   base::CallerLimits m_limits;
