--- a/src/decision/internal/crashflow.h
+++ b/src/decision/internal/crashflow.h
@@ -6,8 +6,8 @@
 
 namespace hemlockgauge::decision {
 
-//! Requests under which upstreams crash: whom they are kept from, and what
-//! routers tell each other of them.
+//! Quarantines requests that crash upstreams: checks upstreams after broken
+//! connections and exchanges the observed crashes with other routers.
 class CrashFlow
 {
 public:
@@ -16,26 +16,27 @@
   {
   }
 
-  //! An attempt at aUpstream ended so.
-  void Ended(const RequestState& aRequest,
-             UpstreamId aUpstream,
-             AttemptOutcome aOutcome);
-  //! For how long the request goes to no upstream; nothing: it may.
-  std::optional<Duration> HeldFor(const RequestQueued& aRequest) const;
-
-  void Take(const UpstreamChecked& aEvent);
-  void Take(const quarantine::CrashUpdates& aNews);
-  //! Looks at upstreams that are due, and tells aNeighbours what is new.
-  //! Returns true if a request was quarantined since the last time.
+  //! Records the outcome of an attempt at aUpstream.
+  void RecordOutcome(const RequestState& aRequest,
+                     UpstreamId aUpstream,
+                     AttemptOutcome aOutcome);
+  //! Returns for how long the request is quarantined, or nothing if it may run.
+  std::optional<Duration> QuarantinedFor(const RequestQueued& aRequest) const;
+
+  void Handle(const UpstreamChecked& aEvent);
+  void Handle(const quarantine::CrashUpdates& aUpdates);
+  //! Starts the checks of upstreams that are due and sends updates to
+  //! aNeighbours. Returns true if a request was quarantined since the last
+  //! call.
   bool Tick(const std::vector<RouterId>& aNeighbours);
 
 private:
-  void Tell(const std::vector<RouterId>& aNeighbours,
-            const quarantine::CrashUpdates& aNews);
-  bool NoteChanges();
+  void SendUpdates(const std::vector<RouterId>& aNeighbours,
+                   const quarantine::CrashUpdates& aUpdates);
+  bool RecordChanges();
 
   CoreState& m_state;
-  TimePoint m_toldInTurnAt{};
+  TimePoint m_listSentAt{};
 };
 
 }
--- a/src/decision/internal/outbox.cpp
+++ b/src/decision/internal/outbox.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// What FlatBuffers takes for each part; a test holds these against it.
+// Encoded sizes in FlatBuffers; a test compares them with real frames.
 constexpr std::size_t kFrameBytes = 64;
 constexpr std::size_t kVectorBytes = 16;
 constexpr std::size_t kMemberBytes = 12;
@@ -25,19 +25,19 @@
 
 template<typename Vector>
 std::size_t
-VectorBytes(const Vector& aVector, std::size_t aEach)
+VectorBytes(const Vector& aVector, std::size_t aElementBytes)
 {
-  return aVector.empty() ? 0 : kVectorBytes + aVector.size() * aEach;
+  return aVector.empty() ? 0 : kVectorBytes + aVector.size() * aElementBytes;
 }
 
-//! Membership, hosts, documents and crashes must reach everyone in time; a
-//! plain heartbeat keeps this router from being called dead.
+//! Whether a frame is sent regardless of the budget: changes of members, hosts
+//! and documents and crash reports must reach all routers in time.
 bool
-MustNotWait(const Frame& aFrame)
+IsUrgent(const Frame& aFrame)
 {
   return !aFrame.members.empty() || !aFrame.hosts.empty() ||
          !aFrame.documents.empty() || !aFrame.versions.empty() ||
-         aFrame.wantsSnapshot || !aFrame.crashNews.IsEmpty();
+         aFrame.wantsSnapshot || !aFrame.crashUpdates.IsEmpty();
 }
 
 }
@@ -48,13 +48,13 @@
   std::size_t bytes = kPacketOverheadBytes + kFrameBytes;
   bytes += VectorBytes(aFrame.members, kMemberBytes);
   bytes += VectorBytes(aFrame.versions, kVersionBytes);
-  bytes += VectorBytes(aFrame.up, kDemandBytes);
-  bytes += VectorBytes(aFrame.down, kDemandBytes);
+  bytes += VectorBytes(aFrame.subtreeDemand, kDemandBytes);
+  bytes += VectorBytes(aFrame.fleetTotals, kDemandBytes);
   bytes += VectorBytes(aFrame.hints, kHintBytes);
   bytes += VectorBytes(aFrame.reports, kReportBytes);
   bytes += VectorBytes(aFrame.grants, kGrantBytes);
-  bytes += VectorBytes(aFrame.crashNews.crashes, kCrashBytes);
-  bytes += VectorBytes(aFrame.crashNews.clearances, kClearanceBytes);
+  bytes += VectorBytes(aFrame.crashUpdates.crashes, kCrashBytes);
+  bytes += VectorBytes(aFrame.crashUpdates.clearances, kClearanceBytes);
   for (const auto& host : aFrame.hosts) {
     bytes += kHostBytes + host.name.size() + host.zone.size() +
              host.pool.size() + host.address.ip.size() +
@@ -77,9 +77,9 @@
 }
 
 Frame&
-Outbox::For(RouterId aRouter)
+Outbox::FrameFor(RouterId aRouter)
 {
-  auto& pending = m_waiting[aRouter];
+  auto& pending = m_pending[aRouter];
   if (pending.order == 0) {
     pending.order = m_nextOrder++;
   }
@@ -89,17 +89,17 @@
 void
 Outbox::Drop(RouterId aRouter)
 {
-  m_waiting.erase(aRouter);
-  m_heartbeats.erase(aRouter);
-  m_deferred.erase(aRouter);
+  m_pending.erase(aRouter);
+  m_heartbeatRouters.erase(aRouter);
+  m_deferredRouters.erase(aRouter);
 }
 
 std::vector<RouterId>
-Outbox::Waiting() const
+Outbox::PendingRouters() const
 {
   std::vector<std::pair<std::uint64_t, RouterId>> ordered;
-  ordered.reserve(m_waiting.size());
-  for (const auto& [router, pending] : m_waiting) {
+  ordered.reserve(m_pending.size());
+  for (const auto& [router, pending] : m_pending) {
     ordered.emplace_back(pending.order, router);
   }
   std::sort(ordered.begin(), ordered.end());
@@ -112,21 +112,22 @@
 }
 
 bool
-Outbox::Take(RouterId aRouter,
-             std::uint32_t aIncarnation,
-             std::uint32_t aDigest,
-             std::uint32_t aMembersDigest,
-             Frame& aFrame)
+Outbox::TakeFrame(RouterId aRouter,
+                  std::uint32_t aIncarnation,
+                  std::uint32_t aDigest,
+                  std::uint32_t aMembersDigest,
+                  Frame& aFrame)
 {
-  const auto found = m_waiting.find(aRouter);
-  if (found == m_waiting.end()) {
+  const auto found = m_pending.find(aRouter);
+  if (found == m_pending.end()) {
     return false;
   }
   const auto bytes = EstimateFrameBytes(found->second.frame);
-  const bool must =
-    m_heartbeats.contains(aRouter) || MustNotWait(found->second.frame);
-  if (!must && !m_budget.Allows(bytes)) {
-    m_counters.framesDeferred += m_deferred.insert(aRouter).second ? 1 : 0;
+  const bool urgent =
+    m_heartbeatRouters.contains(aRouter) || IsUrgent(found->second.frame);
+  if (!urgent && !m_budget.Allows(bytes)) {
+    m_counters.framesDeferred +=
+      m_deferredRouters.insert(aRouter).second ? 1 : 0;
     return false;
   }
   aFrame = std::move(found->second.frame);
@@ -138,12 +139,12 @@
   aFrame.boot = m_boot;
   aFrame.sequence = ++m_sequence;
   m_budget.Charge(bytes);
-  Count(aFrame);
+  CountSent(aFrame);
   return true;
 }
 
 Frame
-Outbox::ToSeed(std::uint32_t aIncarnation)
+Outbox::MakeSeedFrame(std::uint32_t aIncarnation)
 {
   Frame frame;
   frame.sender = m_self;
@@ -151,12 +152,12 @@
   frame.boot = m_boot;
   frame.sequence = ++m_sequence;
   frame.wantsSnapshot = true;
-  Count(frame);
+  CountSent(frame);
   return frame;
 }
 
 void
-Outbox::Count(const Frame& aFrame)
+Outbox::CountSent(const Frame& aFrame)
 {
   m_counters.framesSent++;
   m_counters.bytesSent += EstimateFrameBytes(aFrame);
--- a/src/decision/internal/requestflow.h
+++ b/src/decision/internal/requestflow.h
@@ -5,7 +5,8 @@
 
 namespace hemlockgauge::decision {
 
-//! The life of a request: admitted or refused, placed, retried, ended.
+//! Handles a request from its arrival to its end: admission or refusal,
+//! placement, retries.
 class RequestFlow
 {
 public:
@@ -15,35 +16,38 @@
   {
   }
 
-  void Take(const RequestQueued& aEvent);
-  void Take(const RequestAbandoned& aEvent);
-  void Take(const AttemptEnded& aEvent);
+  void Handle(const RequestQueued& aEvent);
+  void Handle(const RequestAbandoned& aEvent);
+  void Handle(const AttemptEnded& aEvent);
   void RefuseOverdue();
-  //! Requests whose workspace left the documents get an answer at once.
-  void RefuseOrphans();
+  //! Refuses queued requests whose workspace was removed from the documents.
+  void RefuseRemovedWorkspaces();
   void RefuseAllQueued(RefusalReason aReason);
-  //! Requests that wait, and under which upstreams turned out to crash.
+  //! Refuses queued requests that have been quarantined in the meantime.
   void RefuseQuarantined();
-  //! Starts all that may start now.
+  //! Sends all queued requests that may run now.
   void Dispatch();
 
 private:
-  std::optional<RefusalReason> WhyNotAdmitted(const RequestQueued& aRequest,
+  //! Returns why a request is not admitted, or nothing if it is.
+  std::optional<RefusalReason> CheckAdmission(const RequestQueued& aRequest,
                                               WorkspaceQueue& aQueue,
                                               const Pool& aPool);
   void Refuse(RequestId aRequest,
               RefusalReason aReason,
               base::Verdict aVerdict,
               Duration aRetryAfter);
-  void RefuseKnown(RequestId aRequest, RefusalReason aReason);
-  void RefuseWaiting(RequestId aRequest,
-                     RefusalReason aReason,
-                     Duration aRetryAfter);
+  //! Refuses a queued request; the caller may retry after the expected wait.
+  void RefuseQueued(RequestId aRequest, RefusalReason aReason);
+  //! The same, with a given time to retry after.
+  void RemoveAndRefuse(RequestId aRequest,
+                       RefusalReason aReason,
+                       Duration aRetryAfter);
   void DispatchPool(Pool& aPool);
   void Send(Pool& aPool, const Placement& aPlacement);
-  void CountHealth(Pool& aPool,
-                   UpstreamId aUpstream,
-                   const AttemptEnded& aEvent);
+  void UpdateHealth(Pool& aPool,
+                    UpstreamId aUpstream,
+                    const AttemptEnded& aEvent);
   bool MayRetry(const RequestState& aRequest, AttemptOutcome aOutcome);
   void Requeue(Pool& aPool, RequestState& aRequest);
   Duration RetryAfter(const Pool& aPool, const WorkspaceQueue& aQueue) const;
--- a/src/decision/internal/upstreamhealth.h
+++ b/src/decision/internal/upstreamhealth.h
@@ -6,33 +6,36 @@
 
 namespace hemlockgauge::decision {
 
-//! Takes an upstream out after failures in a row and lets single requests
-//! probe it back. Never takes out more than a part of a pool.
+//! Ejects an upstream after kFailuresToEject consecutive failures and readmits
+//! it when a single request, the probe, succeeds there. At most
+//! kMaxEjectedRatio of a pool is ejected at a time.
 class UpstreamHealth
 {
 public:
-  //! Returns true if this failure ejects the upstream.
-  bool Failed(UpstreamId aUpstream,
-              bool aBeforeRunning,
-              TimePoint aNow,
-              std::size_t aPoolSize,
-              std::size_t aEjectedInPool);
-  //! Returns true if this success brings it back.
-  bool Succeeded(UpstreamId aUpstream);
+  //! Counts a failed attempt and returns true if it ejects the upstream.
+  //! aBeforeRunning: the request did not run.
+  bool RecordFailure(UpstreamId aUpstream,
+                     bool aBeforeRunning,
+                     TimePoint aNow,
+                     std::size_t aPoolSize,
+                     std::size_t aEjectedInPool);
+  //! Resets the failures and returns true if this readmits the upstream.
+  bool RecordSuccess(UpstreamId aUpstream);
   bool IsEjected(UpstreamId aUpstream) const;
-  //! Whether its last failure was one that ran nothing.
-  bool FailedBeforeRunning(UpstreamId aUpstream) const;
+  //! Whether the request of the last failure did not run.
+  bool LastFailedBeforeRunning(UpstreamId aUpstream) const;
   //! Whether a single request may probe an ejected upstream now.
   bool MayProbe(UpstreamId aUpstream, TimePoint aNow) const;
-  void ProbeSent(UpstreamId aUpstream, TimePoint aNow);
+  //! Schedules the next probe.
+  void RecordProbe(UpstreamId aUpstream, TimePoint aNow);
 
 private:
   struct Record
   {
-    int failuresInRow = 0;
+    int consecutiveFailures = 0;
     bool ejected = false;
     bool beforeRunning = false;
-    Duration ejection{};
+    Duration ejectionTime{};
     TimePoint nextProbe{};
   };
   std::map<UpstreamId, Record> m_records;
--- a/src/decision/tests/randomtests.cpp
+++ b/src/decision/tests/randomtests.cpp
@@ -1,6 +1,6 @@
-// Long randomised runs: kills, cuts, freezes, losses, outages and races, two
-// and more at once; the invariants that the program asserts of itself and
-// those that only the fakes can see must hold throughout.
+// Long runs with random faults, several at a time: kills, partitions, pauses,
+// lost frames, outages of the platform. The invariants that the program checks
+// itself and those that the simulation checks must hold throughout.
 
 #include "fixture/corefleet.h"
 
@@ -17,12 +17,13 @@
 constexpr std::size_t kRouters = 6;
 constexpr std::size_t kUpstreams = 9;
 constexpr int kFaults = 24;
-constexpr int kKinds = 13;
-//! A storm is far above; the budget itself is what scenarios look at.
-constexpr double kMostControlBytes = 4096;
+constexpr int kFaultKinds = 13;
+//! A message storm exceeds this by far; the limit of 2048 bytes per second is
+//! checked by the scenarios.
+constexpr double kMaxControlBytes = 4096;
 
 void
-DoFault(CoreFleet& aFleet, int aKind, std::size_t aWhich)
+InjectFault(CoreFleet& aFleet, int aKind, std::size_t aWhich)
 {
   const auto router = aWhich % kRouters;
   const auto other = (aWhich / kRouters) % kRouters;
@@ -63,9 +64,9 @@
       aFleet.Upstreams().Revive(upstream);
       break;
     case 11:
-      aFleet.Network().lossPart = aWhich % 2 == 0 ? 0.2 : 0;
-      aFleet.Network().copyPart = aWhich % 3 == 0 ? 0.2 : 0;
-      aFleet.Network().delayPart = aWhich % 5 == 0 ? 0.2 : 0;
+      aFleet.Network().lossRatio = aWhich % 2 == 0 ? 0.2 : 0;
+      aFleet.Network().duplicateRatio = aWhich % 3 == 0 ? 0.2 : 0;
+      aFleet.Network().delayRatio = aWhich % 5 == 0 ? 0.2 : 0;
       break;
     default:
       aFleet.Drain(router);
@@ -74,13 +75,13 @@
 }
 
 void
-MakeAllWell(CoreFleet& aFleet)
+RepairAll(CoreFleet& aFleet)
 {
   aFleet.Heal();
   aFleet.SetPlatform(true, false);
-  aFleet.Network().lossPart = 0;
-  aFleet.Network().copyPart = 0;
-  aFleet.Network().delayPart = 0;
+  aFleet.Network().lossRatio = 0;
+  aFleet.Network().duplicateRatio = 0;
+  aFleet.Network().delayRatio = 0;
   for (std::size_t i = 0; i < kRouters; ++i) {
     aFleet.Thaw(i);
     if (!aFleet.IsUp(i)) {
@@ -90,13 +91,13 @@
 }
 
 void
-CheckTruths(CoreFleet& aFleet)
+CheckInvariants(CoreFleet& aFleet)
 {
   const auto& counts = aFleet.Counts();
   RC_ASSERT(counts.invariantsBroken == 0U);
-  RC_ASSERT(counts.doubleEnds == 0U);
-  RC_ASSERT(counts.ranTwice == 0U);
-  RC_ASSERT(counts.liedNotRun == 0U);
+  RC_ASSERT(counts.duplicateEnds == 0U);
+  RC_ASSERT(counts.duplicateRuns == 0U);
+  RC_ASSERT(counts.falseNotRun == 0U);
   RC_ASSERT(counts.revertedDocuments == 0U);
 }
 
@@ -119,27 +120,27 @@
   fixture::CallerOptions booking;
   booking.workspace = desk;
   booking.rate = 8;
-  booking.costLow = base::Duration(100);
-  booking.costHigh = base::Duration(600);
+  booking.minServiceTime = base::Duration(100);
+  booking.maxServiceTime = base::Duration(600);
   booking.repeatable = false;
   booking.deadline = base::Duration(15000);
   fleet.AddCallers(booking);
   for (int i = 0; i < kFaults; ++i) {
     fleet.RunFor(base::Duration(*rc::gen::inRange(50, 4000)));
-    DoFault(fleet,
-            *rc::gen::inRange(0, kKinds),
-            *rc::gen::inRange<std::size_t>(0, 10000));
+    InjectFault(fleet,
+                *rc::gen::inRange(0, kFaultKinds),
+                *rc::gen::inRange<std::size_t>(0, 10000));
   }
-  CheckTruths(fleet);
-  MakeAllWell(fleet);
-  fleet.RunFor(base::Duration(30000)); // one that was draining may end now
-  MakeAllWell(fleet);
+  CheckInvariants(fleet);
+  RepairAll(fleet);
+  fleet.RunFor(base::Duration(30000)); // a draining router may end in this time
+  RepairAll(fleet);
   fleet.RunFor(base::Duration(30000));
   fleet.BeginMeasure({ big });
   fleet.RunFor(base::Duration(30000));
-  CheckTruths(fleet);
-  RC_ASSERT(fleet.ControlBytes().second < kMostControlBytes);
-  RC_ASSERT(fleet.FewestMembersSeen() == kRouters);
+  CheckInvariants(fleet);
+  RC_ASSERT(fleet.ControlBytes().second < kMaxControlBytes);
+  RC_ASSERT(fleet.MinAliveMembers() == kRouters);
   const auto revision = fleet.Publish(true);
   fleet.RunFor(base::Duration(4000));
   RC_ASSERT(fleet.IsInForceEverywhere(revision));
@@ -147,15 +148,15 @@
     fleet.StopCallers(workspace);
   }
   fleet.RunFor(base::Duration(120000));
-  CheckTruths(fleet);
-  RC_ASSERT(fleet.StillOpen() == 0U);
+  CheckInvariants(fleet);
+  RC_ASSERT(fleet.OpenRequestCount() == 0U);
 }
 
 }
 
-Test(random, NothingThatMustHoldIsEverBroken, .timeout = 1200)
+Test(random, InvariantsHoldUnderRandomFaults, .timeout = 1200)
 {
-  // More runs, other seeds: RC_PARAMS="max_success=1000 seed=7"
+  // For more runs or another seed: RC_PARAMS="max_success=1000 seed=7"
   setenv("RC_PARAMS", "max_success=100 seed=20261202 noshrink=1", 0);
   cr_assert(rc::check("random faults over a fleet of cores", RunOnce));
 }
--- a/src/document/settingsparser.cpp
+++ b/src/document/settingsparser.cpp
@@ -14,7 +14,9 @@
 namespace {
 
 base::Duration
-Millis(SectionReader& aReader, std::string_view aKey, base::Duration aDefault)
+ReadMillis(SectionReader& aReader,
+           std::string_view aKey,
+           base::Duration aDefault)
 {
   return base::Duration(aReader.NumberOr(
     aKey, 0, 3600000, static_cast<uint32_t>(aDefault.count())));
@@ -34,10 +36,11 @@
   aSettings.maxBodyBytes =
     aReader.NumberOr("max_body_bytes", 1024, 64 << 20, 1 << 20);
   aSettings.callerTimeout =
-    Millis(aReader, "caller_timeout_ms", aSettings.callerTimeout);
+    ReadMillis(aReader, "caller_timeout_ms", aSettings.callerTimeout);
   aSettings.drainNotice =
-    Millis(aReader, "drain_notice_ms", aSettings.drainNotice);
-  aSettings.stopLimit = Millis(aReader, "stop_limit_ms", aSettings.stopLimit);
+    ReadMillis(aReader, "drain_notice_ms", aSettings.drainNotice);
+  aSettings.stopTimeout =
+    ReadMillis(aReader, "stop_limit_ms", aSettings.stopTimeout);
   aSettings.logLevel = aReader.TextOr("log_level", "info");
   const auto policy =
     kPolicyKindNames.ValueOf(aReader.TextOr("policy", "entitlement"));
@@ -47,14 +50,14 @@
                  "expected entitlement, equal-part or least-loaded");
   }
   aSettings.policy = *policy;
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
 ReadPlatform(SectionReader aReader, RouterSettings& aSettings)
 {
   aSettings.platform = aReader.Address("address");
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
@@ -67,7 +70,7 @@
       aReader.Fail(error.Code(), "seed", error.what());
     }
   }
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -157,8 +157,8 @@
     m_settings.callersListen,
     [this](const ACE_SOCK_Stream& aStream) { Accept(aStream); },
     fleet::AcceptQueueLimit(m_settings.processorShare));
-  m_loop.Subscribe(kFastTickInterval, [this] { TickFast(); });
-  m_loop.Subscribe(kSlowTickInterval, [this] { TickSlow(); });
+  m_loop.SchedulePeriodic(kFastTickInterval, [this] { TickFast(); });
+  m_loop.SchedulePeriodic(kSlowTickInterval, [this] { TickSlow(); });
 }
 
 void
@@ -273,7 +273,7 @@
       aSettings.peerListen == m_settings.peerListen &&
       aSettings.store == m_settings.store && aSettings.id == m_settings.id);
   m_settings.stopGracePeriod = aSettings.stopGracePeriod;
-  m_logBudget = base::LogBudget(aSettings.loggedPerSecond);
+  m_logBudget = base::LogRateLimiter(aSettings.loggedPerSecond);
   m_fleet.Reconfigure(MakeFleetSettings(aSettings, 0));
   LogLine("settings-reloaded")
     .Add("restart_needed", needsRestart ? "yes" : "no")
@@ -418,9 +418,9 @@
 Gateway::TickSlow()
 {
   const auto now = m_loop.Now();
-  m_connections.Sweep(now);
+  m_connections.EnforceTimeouts(now);
   m_probeServer->Sweep(now);
-  if (const auto unlogged = m_logBudget.TakeLeftOut(); unlogged > 0) {
+  if (const auto unlogged = m_logBudget.TakeRefusedCount(); unlogged > 0) {
     m_metrics.Count("requests_unlogged_total", unlogged);
     LogLine("requests-unlogged").Add("count", unlogged).Info();
   }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/basetypes.h"
-#include "base/logbudget.h"
+#include "base/logratelimiter.h"
 #include "fleet/exchangeclock.h"
 #include "fleet/fleet.h"
 #include "fleet/membership.h"
@@ -141,7 +141,7 @@
   Codecs m_codecs;
   metrics::Metrics m_metrics;
   fleet::Fleet m_fleet;
-  base::LogBudget m_logBudget;
+  base::LogRateLimiter m_logBudget;
   UpstreamPool m_pool;
   UpstreamChecks m_checks;
   base::CallerLimits m_limits;
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -82,7 +82,7 @@
                                              aSettings.loggedPerSecond);
   aSettings.placement = ReadNamedValue(
     aReader, "placement", fleet::kPlacementKindNames, aSettings.placement);
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
@@ -93,7 +93,7 @@
     aReader, "upstream_heartbeat_ms", aSettings.upstreamHeartbeatInterval);
   aSettings.revocationBound =
     ReadMillis(aReader, "revocation_bound_ms", aSettings.revocationBound);
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
@@ -105,7 +105,7 @@
     aReader.RealOr("slack", 0, kMaxSlack, aSettings.retrySlack);
   aSettings.retryWindow =
     ReadMillis(aReader, "window_ms", aSettings.retryWindow);
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
@@ -115,7 +115,7 @@
     aReader.RealOr("overrun", 0, kMaxRatio, aSettings.coldLimit.overrun);
   aSettings.coldLimit.slack =
     aReader.RealOr("slack", 0, kMaxSlack, aSettings.coldLimit.slack);
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 //! Reads lines of the form "zone = ZONE:REGION".
@@ -129,7 +129,7 @@
     }
     aSettings.regionOfZone[line.substr(0, colon)] = line.substr(colon + 1);
   }
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 void
@@ -143,7 +143,7 @@
       aReader.Fail(error.Code(), "seeds", error.what());
     }
   }
-  aReader.Finish();
+  aReader.RejectUnknownKeys();
 }
 
 }
--- a/src/gateway/internal/exchange.cpp
+++ b/src/gateway/internal/exchange.cpp
@@ -42,7 +42,8 @@
   : m_dependencies(aDependencies)
   , m_owner(aOwner)
   , m_caller(&aCaller)
-  , m_arrivedAt(aDependencies.loop.Now() - aDependencies.loop.LastRound() / 2)
+  , m_arrivedAt(aDependencies.loop.Now() -
+                aDependencies.loop.LastIterationTime() / 2)
   , m_deadlineAt(base::TimePoint::max())
   , m_isLogged(aDependencies.logBudget.Take(m_arrivedAt))
 {
@@ -71,7 +72,7 @@
   return m_response.isEventStream && m_response.IsSuccess();
 }
 
-http::IClientEvents::HeadVerdict
+http::IClientEvents::HeadAction
 Exchange::OnAnswerHead(http::ClientConnection& aConnection,
                        http::ResponseHead&& aHead)
 {
@@ -80,22 +81,22 @@
   const bool ranNothing = response.notRun || response.misdirected;
   if (!response.requestId.empty() && response.requestId != m_request.id) {
     m_dependencies.metrics.Count("foreign_answers_total");
-    return HeadVerdict::Skip;
+    return HeadAction::Skip;
   }
   const bool hasNoRequestId = response.requestId.empty();
   if (hasNoRequestId && (!ranNothing || aConnection.requests > 1)) {
-    return HeadVerdict::Drop;
+    return HeadAction::Reject;
   }
   const bool lacksSeal = response.IsSuccess() && (!response.hasResponseSeal ||
                                                   response.hasContentEncoding);
   if (lacksSeal) {
-    return HeadVerdict::Drop;
+    return HeadAction::Reject;
   }
   m_response = std::move(response);
   if (m_response.keepAlive > base::Duration{}) {
     aConnection.keepAlive = m_response.keepAlive;
   }
-  return HeadVerdict::Take;
+  return HeadAction::Accept;
 }
 
 void
@@ -143,7 +144,7 @@
   }
   SendHead();
   m_caller->Write(out);
-  if (m_caller->Unsent() > kMaxUnsentToCaller && m_upstream != nullptr) {
+  if (m_caller->UnsentBytes() > kMaxUnsentToCaller && m_upstream != nullptr) {
     m_upstream->SetReading(false);
   }
 }
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "base/logbudget.h"
+#include "base/logratelimiter.h"
 #include "fleet/fleet.h"
 #include "gateway/eventstreamfilter.h"
 #include "gateway/gatewaytypes.h"
@@ -40,7 +40,7 @@
   const IUpstreamCodec& upstreams;
   UpstreamPool& pool;
   metrics::Metrics& metrics;
-  base::LogBudget& logBudget;
+  base::LogRateLimiter& logBudget;
 };
 
 //! The owner of the exchanges.
@@ -82,8 +82,8 @@
   //! Whether an upstream has been chosen at least once.
   bool WasPlaced() const { return !m_triedUpstreams.empty(); }
 
-  HeadVerdict OnAnswerHead(http::ClientConnection& aConnection,
-                           http::ResponseHead&& aHead) override;
+  HeadAction OnAnswerHead(http::ClientConnection& aConnection,
+                          http::ResponseHead&& aHead) override;
   void OnAnswerBody(http::ClientConnection& aConnection,
                     std::string_view aBytes) override;
   void OnAnswerEnd(http::ClientConnection& aConnection,
--- a/src/gateway/internal/probeserver.cpp
+++ b/src/gateway/internal/probeserver.cpp
@@ -30,7 +30,7 @@
 void
 ProbeServer::Sweep(base::TimePoint aNow)
 {
-  m_connections.Sweep(aNow);
+  m_connections.EnforceTimeouts(aNow);
 }
 
 void
--- a/src/gateway/internal/storefollower.cpp
+++ b/src/gateway/internal/storefollower.cpp
@@ -99,12 +99,12 @@
   m_connection->Send(std::move(request));
 }
 
-http::IClientEvents::HeadVerdict
+http::IClientEvents::HeadAction
 StoreFollower::OnAnswerHead(http::ClientConnection&, http::ResponseHead&& aHead)
 {
   m_status = aHead.status;
   m_headers = std::move(aHead.headers);
-  return HeadVerdict::Take;
+  return HeadAction::Accept;
 }
 
 void
--- a/src/gateway/internal/storeupdateserver.cpp
+++ b/src/gateway/internal/storeupdateserver.cpp
@@ -88,7 +88,7 @@
   const auto receiving =
     std::count_if(m_followers.begin(), m_followers.end(), [](const auto& aOne) {
       return aOne.second.receivesFullList &&
-             aOne.second.connection->HasUnsent();
+             aOne.second.connection->HasUnsentBytes();
     });
   return static_cast<std::size_t>(receiving) < kMaxFullListTransfers;
 }
--- a/src/gateway/internal/upstreamchecks.cpp
+++ b/src/gateway/internal/upstreamchecks.cpp
@@ -67,10 +67,10 @@
   m_onResult(upstream, aResult);
 }
 
-http::IClientEvents::HeadVerdict
+http::IClientEvents::HeadAction
 UpstreamChecks::OnAnswerHead(http::ClientConnection&, http::ResponseHead&&)
 {
-  return HeadVerdict::Drop; // no request was sent
+  return HeadAction::Reject; // no request was sent
 }
 
 //! A failed connection doesn't prove a crash if the upstream keeps other
--- a/src/gateway/internal/upstreampool.cpp
+++ b/src/gateway/internal/upstreampool.cpp
@@ -112,7 +112,7 @@
   std::vector<http::ClientConnection*> expired;
   for (const auto& [id, idle] : m_idle) {
     for (auto* connection : idle) {
-      if (aNow - connection->Since() > IdleTimeout(*connection)) {
+      if (aNow - connection->StateSince() > IdleTimeout(*connection)) {
         expired.push_back(connection);
       }
     }
@@ -137,10 +137,10 @@
   }
 }
 
-http::IClientEvents::HeadVerdict
+http::IClientEvents::HeadAction
 UpstreamPool::OnAnswerHead(http::ClientConnection&, http::ResponseHead&&)
 {
-  return HeadVerdict::Drop; // no request was sent
+  return HeadAction::Reject; // no request was sent
 }
 
 void
--- a/src/gateway/storefollower.h
+++ b/src/gateway/storefollower.h
@@ -45,8 +45,8 @@
   //! times per second.
   void Tick(base::TimePoint aNow) override;
 
-  HeadVerdict OnAnswerHead(http::ClientConnection& aConnection,
-                           http::ResponseHead&& aHead) override;
+  HeadAction OnAnswerHead(http::ClientConnection& aConnection,
+                          http::ResponseHead&& aHead) override;
   void OnAnswerBody(http::ClientConnection& aConnection,
                     std::string_view aBytes) override;
   void OnAnswerEnd(http::ClientConnection& aConnection,
--- a/src/gateway/upstreamchecks.h
+++ b/src/gateway/upstreamchecks.h
@@ -30,8 +30,8 @@
   //! Reports finished checks. To be called several times per second.
   void Tick(base::TimePoint aNow);
 
-  HeadVerdict OnAnswerHead(http::ClientConnection& aConnection,
-                           http::ResponseHead&& aHead) override;
+  HeadAction OnAnswerHead(http::ClientConnection& aConnection,
+                          http::ResponseHead&& aHead) override;
   void OnAnswerBody(http::ClientConnection&, std::string_view) override {}
   void OnAnswerEnd(http::ClientConnection&, bool) override {}
   void OnFailed(http::ClientConnection& aConnection,
--- a/src/gateway/upstreampool.h
+++ b/src/gateway/upstreampool.h
@@ -47,8 +47,8 @@
   //! Number of connections opened since the start.
   std::uint64_t TotalOpened() const { return m_totalOpened; }
 
-  HeadVerdict OnAnswerHead(http::ClientConnection& aConnection,
-                           http::ResponseHead&& aHead) override;
+  HeadAction OnAnswerHead(http::ClientConnection& aConnection,
+                          http::ResponseHead&& aHead) override;
   void OnAnswerBody(http::ClientConnection&, std::string_view) override {}
   void OnAnswerEnd(http::ClientConnection&, bool) override {}
   void OnFailed(http::ClientConnection& aConnection,
--- a/src/http/connectionset.cpp
+++ b/src/http/connectionset.cpp
@@ -54,24 +54,25 @@
 }
 
 void
-ConnectionSet::Sweep(base::TimePoint aNow)
+ConnectionSet::EnforceTimeouts(base::TimePoint aNow)
 {
   for (auto* connection : All()) {
-    connection->Sweep(aNow);
+    connection->EnforceTimeouts(aNow);
   }
 }
 
 std::size_t
-ConnectionSet::CloseLongestIdle(std::size_t aMost)
+ConnectionSet::CloseLongestIdle(std::size_t aMaxCount)
 {
   auto idle = All();
-  std::erase_if(idle, [](const auto* aOne) { return !aOne->IsIdle(); });
-  const auto count = std::min(aMost, idle.size());
+  std::erase_if(idle,
+                [](const auto* aConnection) { return !aConnection->IsIdle(); });
+  const auto count = std::min(aMaxCount, idle.size());
   std::partial_sort(idle.begin(),
                     idle.begin() + static_cast<std::ptrdiff_t>(count),
                     idle.end(),
                     [](const auto* aFirst, const auto* aSecond) {
-                      return aFirst->Since() < aSecond->Since();
+                      return aFirst->StateSince() < aSecond->StateSince();
                     });
   for (std::size_t i = 0; i < count; ++i) {
     idle[i]->CloseIfIdle();
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -15,27 +15,28 @@
 
 namespace hemlockgauge::http {
 
-//! Accepts TCP connections and hands each over, non-blocking.
+//! Accepts TCP connections and passes each to a callback as a non-blocking
+//! socket.
 class Listener : public eventloop::IIoHandler
 {
 public:
-  static constexpr std::size_t kQueue = 1024;
+  static constexpr std::size_t kDefaultBacklog = 1024;
 
   using OnConnection = std::function<void(const ACE_SOCK_Stream& aStream)>;
 
-  //! aQueue: connections that may wait to be accepted; more are dropped, and
-  //! the kernels of their callers try again. Throws Error(Unreachable) if the
-  //! address can't be listened on.
+  //! aBacklog: the listen backlog. Connections beyond it are dropped, and the
+  //! callers' kernels retry. Throws Error(Unreachable) if listening on
+  //! the address fails.
   Listener(eventloop::EventLoop& aLoop,
            const base::Address& aAddress,
            OnConnection aOnConnection,
-           std::size_t aQueue = kQueue);
+           std::size_t aBacklog = kDefaultBacklog);
   ~Listener() override;
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
   void Close();
-  //! While paused, connections wait.
+  //! While paused, new connections wait in the listen backlog.
   void Pause(bool aPaused);
   bool IsPaused() const { return m_paused; }
   bool IsOpen() const { return m_open; }
--- a/src/peer/internal/outgoinglink.h
+++ b/src/peer/internal/outgoinglink.h
@@ -14,8 +14,8 @@
 namespace hemlockgauge::peer {
 
 //! A connection on which this router sends frames to one peer. The peer
-//! confirms each frame with one byte, so that a connection that something
-//! between the two has forgotten is noticed and replaced.
+//! acknowledges each frame with one byte, so that a connection whose state was
+//! lost on the path (such as in a NAT or firewall) is detected and replaced.
 class OutgoingLink : public ACE_Event_Handler
 {
 public:
@@ -25,8 +25,9 @@
   ~OutgoingLink() override;
 
   void Send(std::vector<std::uint8_t> aBytes, base::TimePoint aNow);
-  //! Replaces the connection if a frame was not confirmed in time.
-  void Review(base::TimePoint aNow);
+  //! Reconnects if the oldest frame was not acknowledged in time, or if the
+  //! connection is closed and the reconnect delay has passed.
+  void EnforceTimeouts(base::TimePoint aNow);
   bool IsIdleSince(base::TimePoint aTime) const { return m_lastSend < aTime; }
 
   ACE_HANDLE get_handle() const override;
@@ -34,7 +35,7 @@
   int handle_input(ACE_HANDLE aHandle) override;
 
 private:
-  struct Unconfirmed
+  struct PendingFrame
   {
     std::vector<std::uint8_t> bytes;
     base::TimePoint sent{};
@@ -42,9 +43,9 @@
 
   void Connect();
   void Close();
-  void Lose();
+  void HandleLinkLost();
   void Write();
-  void TakeConfirmations(std::size_t aCount);
+  void HandleAcknowledgements(std::size_t aCount);
 
   ACE_Reactor& m_reactor;
   base::Address m_address;
@@ -52,7 +53,7 @@
   ACE_SOCK_Stream m_stream;
   bool m_open = false;
   bool m_connected = false;
-  std::deque<Unconfirmed> m_frames;
+  std::deque<PendingFrame> m_pendingFrames;
   std::size_t m_nextFrame = 0;
   std::size_t m_offset = 0;
   base::TimePoint m_lastSend{};
--- a/src/platform/internal/platformclient.h
+++ b/src/platform/internal/platformclient.h
@@ -13,9 +13,9 @@
 
 namespace hemlockgauge::platform {
 
-//! Four threads: documents, hosts, load of upstreams, and looks at upstreams
-//! whose connections broke. A watch that
-//! stays silent is given up after its own limit and opened anew.
+//! Runs four threads: documents, hosts, load of upstreams, and checks of
+//! upstreams whose connections broke. A watch request that gets no answer times
+//! out and is sent again.
 class PlatformClient : public IPlatformClient
 {
 public:
@@ -35,9 +35,10 @@
   void RunLoads();
   void RunChecks();
   void ReadDocuments(std::uint64_t aAfter, base::Duration aWait);
-  void NoteAnswer();
-  void NoteFailure(const char* aWhat, const std::string& aWhy);
-  //! Sleeps unless stopped or told to watch.
+  void RecordAnswer();
+  void LogFailure(const char* aWhat, const std::string& aWhy);
+  //! Sleeps for aTime; returns early on Stop or when SetWatching changes the
+  //! mode.
   void Pause(base::Duration aTime);
 
   base::Address m_platform;
@@ -46,7 +47,7 @@
   std::atomic<bool> m_watching{ true };
   std::atomic<std::int64_t> m_lastAnswer{ INT64_MIN / 2 };
   std::uint64_t m_version = 0;
-  std::map<std::string, std::uint64_t> m_read;
+  std::map<std::string, std::uint64_t> m_readRevisions;
   std::mutex m_mutex;
   std::condition_variable m_wake;
   std::deque<decision::PollLoad> m_polls;
@@ -54,7 +55,7 @@
   std::thread m_documents;
   std::thread m_hosts;
   std::thread m_loads;
-  std::thread m_lookers;
+  std::thread m_checker;
 };
 
 }
--- a/src/router/routermodule.cpp
+++ b/src/router/routermodule.cpp
@@ -22,7 +22,8 @@
 
 namespace {
 
-//! Tenths of a second since 2026: higher at each start, without a disk.
+//! Returns tenths of a second since 2026 by the system clock: increases at each
+//! start without storing a counter on disk.
 std::uint32_t
 NewIncarnation()
 {
@@ -55,9 +56,9 @@
   const auto peers = peer::MakePeerTransport(reactor, *timers);
   const auto platform = platform::MakePlatformClient(aSettings.platform);
   const auto traffic = traffic::MakeTraffic(aSettings, incarnation, metrics);
-  const ControlParts parts{ reactor,   *timers,  *peers,
-                            *platform, *traffic, metrics };
-  Control control(aSettings, incarnation, parts);
+  const ControlServices services{ reactor,   *timers,  *peers,
+                                  *platform, *traffic, metrics };
+  Control control(aSettings, incarnation, services);
   control.Start();
   base::LogLine("started")
     .Add("router", aSettings.id)
--- a/src/timer/internal/reactortimerservice.cpp
+++ b/src/timer/internal/reactortimerservice.cpp
@@ -24,15 +24,16 @@
 }
 
 void
-ReactorTimerService::Subscribe(base::Duration aPeriod,
-                               std::function<void()> aCallback)
+ReactorTimerService::SchedulePeriodic(base::Duration aPeriod,
+                                      std::function<void()> aCallback)
 {
   auto& handler = m_handlers.emplace_back(
     std::make_unique<PeriodicHandler>(std::move(aCallback)));
   const ACE_Time_Value period(
     std::chrono::duration_cast<std::chrono::microseconds>(aPeriod));
   if (m_reactor.schedule_timer(handler.get(), nullptr, period, period) == -1) {
-    throw base::Error(base::ErrorCode::Internal, "no timer to be had");
+    throw base::Error(base::ErrorCode::Internal,
+                      "failed to schedule a periodic timer");
   }
 }
 
--- a/src/timer/internal/reactortimerservice.h
+++ b/src/timer/internal/reactortimerservice.h
@@ -11,15 +11,15 @@
 
 class PeriodicHandler;
 
-//! Timers of an ACE reactor; it must outlive this.
+//! Timer service on an ACE reactor. The reactor must outlive the service.
 class ReactorTimerService : public ITimerService
 {
 public:
   explicit ReactorTimerService(ACE_Reactor& aReactor);
   ~ReactorTimerService() override;
 
-  void Subscribe(base::Duration aPeriod,
-                 std::function<void()> aCallback) override;
+  void SchedulePeriodic(base::Duration aPeriod,
+                        std::function<void()> aCallback) override;
   base::TimePoint Now() const override;
 
 private:
--- a/src/traffic/internal/answerreader.h
+++ b/src/traffic/internal/answerreader.h
@@ -7,40 +7,42 @@
 
 namespace hemlockgauge::traffic {
 
-//! Passes a plain answer on as it comes.
+//! Forwards the body of a plain upstream unchanged.
 class PlainAnswer
 {
 public:
-  //! Bytes for the caller; false if the answer is not ours.
-  bool Take(std::string_view aBytes, std::string& aOut);
-  bool IsWhole(bool aCleanEnd) const { return aCleanEnd; }
-  std::uint64_t Offset() const { return m_passed; }
+  //! Appends to aOut the bytes to forward to the caller. Returns false if the
+  //! answer belongs to another request or is malformed.
+  bool Consume(std::string_view aBytes, std::string& aOut);
+  bool IsComplete(bool aCleanEnd) const { return aCleanEnd; }
+  std::uint64_t Offset() const { return m_forwardedBytes; }
 
 private:
-  std::uint64_t m_passed = 0;
+  std::uint64_t m_forwardedBytes = 0;
 };
 
-//! Reads the server-sent events of a model engine. Each names the request
-//! and its offset ("id: REQUEST/OFFSET"); only the next offset of our own
-//! request is passed on, so none is missing and none comes twice.
+//! Parses the server-sent events of a model engine. Each event carries the
+//! request id and a token offset ("id: REQUEST/OFFSET"). Only the event with
+//! the next offset of this request is forwarded, so the caller gets each event
+//! exactly once, also across resumptions.
 class EventStreamAnswer
 {
 public:
   explicit EventStreamAnswer(std::string aRequestId);
 
-  bool Take(std::string_view aBytes, std::string& aOut);
-  bool IsWhole(bool) const { return m_done; }
-  //! The offset of the next token.
-  std::uint64_t Offset() const { return m_next; }
-  //! Forgets a half-read event, before a resumed stream is read.
+  bool Consume(std::string_view aBytes, std::string& aOut);
+  bool IsComplete(bool) const { return m_done; }
+  //! Offset of the next token to forward.
+  std::uint64_t Offset() const { return m_nextOffset; }
+  //! Drops an incomplete event; call before reading a resumed stream.
   void Restart() { m_pending.clear(); }
 
 private:
-  bool TakeEvent(std::string_view aEvent, std::string& aOut);
+  bool ConsumeEvent(std::string_view aEvent, std::string& aOut);
 
   std::string m_requestId;
   std::string m_pending;
-  std::uint64_t m_next = 0;
+  std::uint64_t m_nextOffset = 0;
   bool m_done = false;
 };
 
--- a/src/traffic/internal/trafficplane.cpp
+++ b/src/traffic/internal/trafficplane.cpp
@@ -17,10 +17,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::Duration kSweepPeriod = 100ms;
-//! A connection that was accepted right before the listener closed is counted
-//! by then.
-constexpr base::Duration kQuietFor = 50ms;
+constexpr base::Duration kSweepInterval = 100ms;
+//! How long there must be no connection before the plane counts as drained. A
+//! connection accepted right before the listener closed is counted by then.
+constexpr base::Duration kDrainSettleTime = 50ms;
 
 int
 StatusOf(RefusalReason aReason)
@@ -115,8 +115,8 @@
   {
     const std::lock_guard lock(m_mutex);
     if (m_stop) {
-      //! NOTE one that waited now would be suspended at the server's end,
-      //! which ends the process.
+      // An exchange that waited would keep its connection suspended while the
+      // server stops, and libmicrohttpd aborts the process on that.
       aExchange->Refuse({ StatusOf(RefusalReason::Draining),
                           std::string(decision::kRefusalReasonNames.NameOf(
                             RefusalReason::Draining)),
@@ -206,7 +206,7 @@
 {
   std::unique_lock lock(m_mutex);
   while (!m_stop) {
-    m_wake.wait_for(lock, kSweepPeriod);
+    m_wake.wait_for(lock, kSweepInterval);
     lock.unlock();
     Sweep();
     lock.lock();
@@ -224,7 +224,7 @@
     }
   }
   for (const auto& exchange : waiting) {
-    exchange->CallerHungUp();
+    exchange->DetectCallerHangup();
   }
   m_server->CloseSlowCallers(base::MonotonicNow());
 }
@@ -236,27 +236,28 @@
 }
 
 std::size_t
-TrafficPlane::Active() const
+TrafficPlane::ActiveRequestCount() const
 {
   const std::lock_guard lock(m_mutex);
   return m_exchanges.size();
 }
 
-//! Callers keep connections and send the next request on them, so that none is
-//! in progress says nothing of the next moment: the connections end first.
+//! Having no request in progress is not enough: callers may send the next
+//! request on a connection that they keep open. So idle connections are closed
+//! first.
 bool
-TrafficPlane::IsQuiet()
+TrafficPlane::IsDrained()
 {
-  if (Active() == 0) {
-    m_server->CloseIdle();
+  if (ActiveRequestCount() == 0) {
+    m_server->CloseIdleConnections();
   }
-  if (Active() > 0 || m_server->Connections() > 0) {
-    m_quietSince.reset();
+  if (ActiveRequestCount() > 0 || m_server->ConnectionCount() > 0) {
+    m_noConnectionsSince.reset();
     return false;
   }
   const auto now = base::MonotonicNow();
-  m_quietSince = m_quietSince.value_or(now);
-  return now - *m_quietSince >= kQuietFor;
+  m_noConnectionsSince = m_noConnectionsSince.value_or(now);
+  return now - *m_noConnectionsSince >= kDrainSettleTime;
 }
 
 std::size_t
@@ -273,7 +274,7 @@
       left.push_back(exchange);
     }
   }
-  const auto cut = left.size();
+  const auto aborted = left.size();
   m_wake.notify_all();
   m_sweeper.join();
   for (const auto& exchange : left) {
@@ -285,7 +286,7 @@
   m_server->Stop();
   m_server.reset();
   m_workers.clear();
-  return cut;
+  return aborted;
 }
 
 }
--- a/src/traffic/internal/transfer.h
+++ b/src/traffic/internal/transfer.h
@@ -12,15 +12,16 @@
 
 namespace hemlockgauge::traffic {
 
-//! One request at one upstream: the first try, and at a model engine the
-//! resumptions of its stream by request id and offset.
+//! One attempt of a request at one upstream: the first try (an HTTP request)
+//! and, at a model engine, further tries that resume its stream by request id
+//! and offset.
 class Transfer
 {
 public:
   enum class Next
   {
-    Over,  //!< Outcome() says how
-    Resume //!< make a new handle and go on
+    Done,  //!< finished; see Outcome()
+    Resume //!< open a new handle once IsDueToResume()
   };
 
   Transfer(std::shared_ptr<Exchange> aExchange,
@@ -31,20 +32,24 @@
 
   base::RequestId Id() const { return m_send.request; }
   const decision::SendRequest& Send() const { return m_send; }
-  Exchange& Caller() { return *m_exchange; }
+  Exchange& CallerExchange() { return *m_exchange; }
   CURL* Handle() const { return m_handle; }
 
-  //! Makes the handle of the next try.
+  //! Creates the libcurl handle of the next try.
   CURL* Open(base::TimePoint aNow);
   void DropHandle() { CloseHandle(); }
-  //! The try ended with aResult, or was stopped for its silence.
-  Next Finish(CURLcode aResult, bool aStalled, base::TimePoint aNow);
+  //! Evaluates a try that ended with aResult, or that was stopped because the
+  //! upstream sent nothing for the stall limit (aStalled).
+  Next FinishTry(CURLcode aResult, bool aStalled, base::TimePoint aNow);
+  //! Whether the upstream sent nothing for longer than the stall limit, other
+  //! than while the transfer was paused.
   bool IsStalled(base::TimePoint aNow) const;
   bool IsDueToResume(base::TimePoint aNow) const { return aNow >= m_resumeAt; }
   void Unpause();
   decision::AttemptOutcome Outcome() const { return m_outcome; }
-  bool UpstreamLeaving() const { return m_leaving; }
-  //! A stream that still runs at a model engine after its caller left.
+  bool UpstreamLeaving() const { return m_upstreamLeaving; }
+  //! Whether the stream may still run at the model engine although the attempt
+  //! ended, so that it must be cancelled there.
   bool NeedsCancel() const;
   std::string StreamUrl() const;
 
@@ -62,14 +67,14 @@
                         curl_off_t,
                         curl_off_t,
                         curl_off_t);
-  std::size_t TakeBody(std::string_view aBytes);
-  void TakeHeader(std::string_view aLine);
+  std::size_t HandleBody(std::string_view aBytes);
+  void HandleHeader(std::string_view aLine);
   bool AcceptHead();
   void SendHead();
   void SetRequestOptions();
   void CloseHandle();
-  bool IsEngine() const;
-  bool MayResume(base::TimePoint aNow) const;
+  bool IsModelEngine() const;
+  bool CanResume(base::TimePoint aNow) const;
 
   std::shared_ptr<Exchange> m_exchange;
   decision::SendRequest m_send;
@@ -78,22 +83,22 @@
   curl_slist* m_headers = nullptr;
   decision::AttemptOutcome m_outcome = decision::AttemptOutcome::NotSent;
 
-  // Of the current try
+  // State of the current try
   long m_status = 0;
   std::string m_contentType;
-  std::string m_answerId;
-  bool m_refused = false;
-  bool m_crossed = false;
+  std::string m_answerRequestId;
+  bool m_refusedByUpstream = false;
+  bool m_foreignAnswer = false;
   bool m_paused = false;
-  bool m_wantPause = false;
-  base::TimePoint m_lastByte{};
+  bool m_pauseRequested = false;
+  base::TimePoint m_lastByteAt{};
   std::uint64_t m_offsetAtStart = 0;
 
-  // Over all tries
+  // State across tries
   bool m_sent = false;
   bool m_unknownStream = false;
-  bool m_leaving = false;
-  std::uint32_t m_fruitless = 0;
+  bool m_upstreamLeaving = false;
+  std::uint32_t m_resumesWithoutProgress = 0;
   std::uint32_t m_resumes = 0;
   base::TimePoint m_resumeAt{};
   base::TimePoint m_now{};
--- a/src/traffic/itraffic.h
+++ b/src/traffic/itraffic.h
@@ -8,7 +8,7 @@
 
 namespace hemlockgauge::traffic {
 
-//! Answers of the operators' pages; called on a traffic thread.
+//! HTTP response of an admin page.
 struct AdminPage
 {
   int status = 200;
@@ -16,36 +16,42 @@
   std::string body;
 };
 
-//! What the traffic threads ask of the control thread.
+//! Interface of the control thread for the traffic threads. All methods are
+//! thread-safe.
 class IControl
 {
 public:
   virtual ~IControl() = default;
 
+  //! Queues an event for the decision core.
   virtual void Post(decision::Event aEvent) = 0;
   virtual bool IsReady() const = 0;
-  virtual AdminPage Admin(const std::string& aPath,
-                          const std::string& aQuery) = 0;
+  //! Returns the admin page at aPath, status 404 if there is none.
+  virtual AdminPage RenderAdminPage(const std::string& aPath,
+                                    const std::string& aQuery) = 0;
 };
 
-//! The traffic threads, as the control thread sees them.
+//! Interface of the traffic threads for the control thread.
 class ITraffic
 {
 public:
   virtual ~ITraffic() = default;
 
   virtual void Start(IControl& aControl) = 0;
+  //! Sends a request to the chosen upstream; its AttemptEnded event follows.
   virtual void Send(const decision::SendRequest& aSend) = 0;
+  //! Answers a request with an error, or aborts an answer that has begun.
   virtual void Refuse(const decision::RefuseRequest& aRefusal) = 0;
+  //! Adds or replaces a service document for new requests.
   virtual void SetDocument(const decision::DocumentInForce& aDocument) = 0;
-  //! Stops taking connections; what is in progress goes on.
+  //! Stops accepting connections; requests in progress continue.
   virtual void CloseListener() = 0;
-  //! Requests whose callers have not got all of their answer.
-  virtual std::size_t Active() const = 0;
-  //! After CloseListener: whether nothing more can come from any caller, so
-  //! that Stop cuts nothing. To be asked again until it is so.
-  virtual bool IsQuiet() = 0;
-  //! Ends everything; returns how many requests were cut.
+  //! Number of requests whose answer is not yet completely sent.
+  virtual std::size_t ActiveRequestCount() const = 0;
+  //! After CloseListener: whether all caller connections have ended, so that
+  //! Stop aborts no request. Closes idle connections, so poll it until true.
+  virtual bool IsDrained() = 0;
+  //! Stops all threads; returns the number of requests that were aborted.
   virtual std::size_t Stop() = 0;
 };
 
--- a/src/traffic/routingtable.cpp
+++ b/src/traffic/routingtable.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-//! "/chat" is a prefix of "/chat" and "/chat/x", not of "/chatter".
+//! Matches whole path segments: "/chat" is a prefix of "/chat" and "/chat/x",
+//! not of "/chatter".
 bool
 IsPathPrefix(std::string_view aPrefix, std::string_view aPath)
 {
@@ -49,7 +50,7 @@
 }
 
 const std::vector<KeyOwner>&
-RoutingTable::OwnersOf(const std::string& aDigest) const
+RoutingTable::FindKeyOwners(const std::string& aDigest) const
 {
   static const std::vector<KeyOwner> kNone;
   const auto found = m_keys.find(aDigest);
--- a/src/traffic/tests/trafficfixture.h
+++ b/src/traffic/tests/trafficfixture.h
@@ -36,7 +36,8 @@
   return false;
 }
 
-//! Places every request at one upstream at once and records how it ended.
+//! Sends each request to one fixed upstream immediately and records the outcome
+//! of each attempt.
 class ControlMock : public IControl
 {
 public:
@@ -54,7 +55,7 @@
           base::UpstreamId(1),
           m_upstream,
           1,
-          permissionLapsed ? base::TimePoint{} : queued->deadline });
+          permissionExpired ? base::TimePoint{} : queued->deadline });
     } else if (const auto* ended =
                  std::get_if<decision::AttemptEnded>(&aEvent)) {
       Record(*ended);
@@ -64,7 +65,7 @@
   }
 
   bool IsReady() const override { return true; }
-  AdminPage Admin(const std::string&, const std::string&) override
+  AdminPage RenderAdminPage(const std::string&, const std::string&) override
   {
     return {};
   }
@@ -76,7 +77,7 @@
   }
 
   std::atomic<int> abandoned{ 0 };
-  std::atomic<bool> permissionLapsed{ false };
+  std::atomic<bool> permissionExpired{ false };
 
 private:
   void Record(const decision::AttemptEnded& aEnded)
@@ -111,17 +112,17 @@
   std::string body;
   std::string headers;
 
-  bool Says(const std::string& aHeader) const
+  bool HasHeader(const std::string& aHeader) const
   {
     return headers.find(aHeader) != std::string::npos;
   }
 };
 
-//! Beyond the pauses of a starved machine, which would look like silence of the
-//! upstream.
-constexpr int kNoStallMs = 20000;
+//! Longer than the scheduling pauses of an overloaded machine, which would
+//! otherwise look like a stalled upstream.
+constexpr int kLongStallLimitMs = 20000;
 
-//! A traffic plane before one scripted upstream.
+//! Runs a traffic plane in front of one scripted upstream.
 class TrafficFixture
 {
 public:
@@ -131,7 +132,7 @@
                  const std::string& aKind,
                  Handler aHandler,
                  bool aRepeatable = false,
-                 int aStallLimitMs = kNoStallMs)
+                 int aStallLimitMs = kLongStallLimitMs)
     : m_port(aPort)
   {
     const base::Address upstream{ "127.0.0.1",
--- a/src/wire/tests/wiretests.cpp
+++ b/src/wire/tests/wiretests.cpp
@@ -23,16 +23,16 @@
   for (std::uint32_t i = 0; i < aEntries; ++i) {
     frame.members.push_back(
       { base::RouterId(i), i, decision::MemberState::Left });
-    frame.up.push_back({ base::WorkspaceId(i), i * 3, i * 7 });
-    frame.down.push_back({ base::WorkspaceId(i), i * 5, -7 });
+    frame.subtreeDemand.push_back({ base::WorkspaceId(i), i * 3, i * 7 });
+    frame.fleetTotals.push_back({ base::WorkspaceId(i), i * 5, -7 });
     frame.hints.push_back({ base::UpstreamId(i), 2 });
     frame.reports.push_back({ base::UpstreamId(i), 8, i, 1, 2, 3, 4 });
     frame.grants.push_back({ base::UpstreamId(i), i, 6, 9 });
     const auto request =
       quarantine::RequestFingerprint(0xfedcba9800000000ULL + i);
-    frame.crashNews.crashes.push_back(
+    frame.crashUpdates.crashes.push_back(
       { request, base::UpstreamId(i), base::Duration(100 + i) });
-    frame.crashNews.clearances.push_back({ request, base::Duration(i) });
+    frame.crashUpdates.clearances.push_back({ request, base::Duration(i) });
     frame.versions.push_back({ "doc" + std::to_string(i), i });
   }
   decision::HostEntry host;
@@ -60,25 +60,26 @@
 
 }
 
-Test(wire, AFrameComesBackAsItWas)
+Test(wire, FrameRoundTrips)
 {
   const auto frame = FullFrame(3);
   const auto copy = wire::DecodeFrame(wire::EncodeFrame(frame));
   cr_assert(copy.members == frame.members);
   cr_assert(copy.reports[2].want == 3);
   cr_assert(copy.grants[1].wantedBack == 9);
-  const auto& crash = copy.crashNews.crashes[2];
-  cr_assert(crash.request == frame.crashNews.crashes[2].request);
+  const auto& crash = copy.crashUpdates.crashes[2];
+  cr_assert(crash.request == frame.crashUpdates.crashes[2].request);
   cr_assert(crash.upstream == base::UpstreamId(2));
   cr_assert(crash.age == base::Duration(102));
-  cr_assert(copy.crashNews.clearances[1].age == base::Duration(1));
+  cr_assert(copy.crashUpdates.clearances[1].age == base::Duration(1));
   cr_assert(copy.hosts[0].peerAddress == frame.hosts[0].peerAddress);
   cr_assert(copy.documents[0].text == frame.documents[0].text);
-  cr_assert(copy.down[2].demand == 10 && copy.down[2].behindMs == -7);
+  cr_assert(copy.fleetTotals[2].demand == 10 &&
+            copy.fleetTotals[2].lagMs == -7);
   cr_assert(wire::EncodeFrame(copy) == wire::EncodeFrame(frame));
 }
 
-Test(wire, TheBudgetNeverCountsFewerBytesThanGoOut)
+Test(wire, EstimateNeverUndercountsFrameBytes)
 {
   for (const std::size_t entries : { 0U, 1U, 5U, 40U }) {
     const auto frame = FullFrame(entries);
@@ -89,7 +90,7 @@
   }
 }
 
-Test(wire, RandomBytesAreRefusedNotFatal)
+Test(wire, InvalidBytesThrowBadFrame)
 {
   const bool random =
     rc::check("random bytes", [](const std::vector<std::uint8_t>& aBytes) {
--- a/standins/platformtext.cpp
+++ b/standins/platformtext.cpp
@@ -30,7 +30,7 @@
 }
 
 std::string
-AnsweredRequest(const http::HeaderList& aHeaders)
+ResponseAttemptId(const http::HeaderList& aHeaders)
 {
   const auto* id = aHeaders.Find("Hemlockgauge-Attempt-Id");
   return id == nullptr ? std::string() : *id;
--- /dev/null
+++ b/standins/upstreamstandin.cpp
@@ -0,0 +1,353 @@
+#include "standins/upstreamstandin.h"
+
+#include "eventloop/eventloop.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <array>
+
+namespace hemlockgauge::standins {
+
+using http::Framing;
+
+namespace {
+
+constexpr base::Duration kTickInterval(2);
+constexpr std::string_view kAttemptIdField = "Hemlockgauge-Attempt-Id";
+constexpr int kTokensPerEvent = 3;
+constexpr int kMaxEvents = 64;
+constexpr std::array<std::string_view, 6> kRouterOnlyFields{
+  "Hemlockgauge-Retention",
+  "Hemlockgauge-Pin-Ms",
+  "Hemlockgauge-Kv-Backup",
+  "Kv-From",
+  "Kv-Fetch",
+  "Connection"
+};
+
+std::string
+ValueOrEmpty(const http::HeaderList& aHeaders, std::string_view aName)
+{
+  const auto* value = aHeaders.Find(aName);
+  return value == nullptr ? "" : *value;
+}
+
+//! Returns the number of events to stream for the token counts
+//! "PROMPT,OUTPUT"; 0 if there are none.
+int
+EventCount(const std::string& aTokens)
+{
+  const auto comma = aTokens.find(',');
+  if (comma == std::string::npos) {
+    return 0;
+  }
+  const int output = std::stoi(aTokens.substr(comma + 1));
+  return std::clamp(output / kTokensPerEvent, 1, kMaxEvents);
+}
+
+std::string
+EventText(const std::string& aRequestId, int aEvent)
+{
+  return fmt::format("id: {}\ndata: {}\n\n",
+                     aEvent,
+                     UpstreamStandin::AnswerText(aRequestId, aEvent));
+}
+
+}
+
+UpstreamStandin::UpstreamStandin(eventloop::EventLoop& aLoop,
+                                 const UpstreamStandinSettings& aSettings)
+  : m_loop(aLoop)
+  , m_settings(aSettings)
+  , m_faultSelector([](const UpstreamRun&) { return UpstreamFault::None; })
+  , m_observer([](const UpstreamRun&) {})
+  , m_connections(aLoop, m_limits, *this)
+  , m_listener(aLoop, aSettings.listen, [this](const ACE_SOCK_Stream& aStream) {
+    m_connections.Add(aStream);
+  })
+{
+  m_loop.SchedulePeriodic(kTickInterval, [this] { Tick(); });
+}
+
+UpstreamStandin::~UpstreamStandin() = default;
+
+std::string
+UpstreamStandin::AnswerText(const std::string& aRequestId, int aEvent)
+{
+  return fmt::format("{}.{}", aRequestId, aEvent);
+}
+
+void
+UpstreamStandin::OnRequest(http::ServerConnection& aConnection,
+                           http::RequestHead&& aHead,
+                           std::string&& aBody)
+{
+  const auto& headers = aHead.headers;
+  if (ValueOrEmpty(headers, "Hemlockgauge-Expect-Instance") != m_settings.id) {
+    instanceMismatches++;
+    SendResponse(aConnection,
+                 421,
+                 "Hemlockgauge-Instance-Id: " + m_settings.id + "\r\n",
+                 "");
+    return;
+  }
+  auto run = std::make_unique<UpstreamRun>();
+  run->requestId = ValueOrEmpty(headers, kAttemptIdField);
+  run->target = aHead.target;
+  run->workspace = ValueOrEmpty(headers, "Hemlockgauge-Tenant");
+  run->lastEventId = ValueOrEmpty(headers, "Last-Event-Id");
+  run->body = std::move(aBody);
+  run->receivedCallerKey = headers.Find("Authorization") != nullptr;
+  run->receivedRouterOnlyField =
+    std::any_of(kRouterOnlyFields.begin(),
+                kRouterOnlyFields.end(),
+                [&](auto aName) { return headers.Find(aName) != nullptr; });
+  const auto deadline = ValueOrEmpty(headers, "Hemlockgauge-Deadline-Ms");
+  run->deadlineMs = deadline.empty() ? -1 : std::stoll(deadline);
+  if (ExceedsColdLimit()) {
+    Crash();
+    return;
+  }
+  const auto fault = m_faultSelector(*run);
+  if (fault == UpstreamFault::Shed ||
+      m_activeWork.size() >= 4 * std::size_t{ m_settings.slots }) {
+    SendResponse(aConnection,
+                 503,
+                 fmt::format("Hemlockgauge-Not-Executed: 1\r\n{}: {}\r\n",
+                             kAttemptIdField,
+                             run->requestId),
+                 "");
+    return;
+  }
+  Work work;
+  work.connection = &aConnection;
+  work.run = run.get();
+  work.fault = fault;
+  work.nextAt = m_loop.Now() + m_settings.workTime;
+  if (m_settings.isEngine) {
+    work.events = EventCount(ValueOrEmpty(headers, "Hemlockgauge-Token-Count"));
+    work.sent = run->lastEventId.empty() ? 0 : std::stoi(run->lastEventId);
+  }
+  m_activeWork.push_back(work);
+  m_runs.push_back(std::move(run));
+  m_observer(*work.run);
+}
+
+std::string
+UpstreamStandin::ResponseHead(const Work& aWork, int aStatus) const
+{
+  std::string head;
+  http::AppendStatusLine(head, aStatus, aStatus == 200 ? "OK" : "Failure");
+  http::AppendField(head, kAttemptIdField, aWork.run->requestId);
+  if (aWork.fault != UpstreamFault::NoResponseSeal) {
+    http::AppendField(
+      head,
+      "Hemlockgauge-Response-Seal",
+      fmt::format("{}/{}", m_settings.id, aWork.run->requestId));
+  }
+  http::AppendField(head, "Keep-Alive", "timeout=10");
+  http::AppendField(
+    head,
+    "Hemlockgauge-Instance-Load",
+    fmt::format("{},0,{}", m_activeWork.size(), m_settings.slots));
+  if (aWork.events > 0) {
+    http::AppendField(head, "Content-Type", "text/event-stream");
+  }
+  return head;
+}
+
+void
+UpstreamStandin::SendResponse(http::ServerConnection& aConnection,
+                              int aStatus,
+                              const std::string& aExtraHead,
+                              const std::string& aBody)
+{
+  std::string head;
+  http::AppendStatusLine(head, aStatus, "Answer");
+  head += aExtraHead;
+  aConnection.BeginAnswer(head, Framing::Length, aBody.size());
+  aConnection.Write(aBody);
+  aConnection.EndAnswer();
+}
+
+void
+UpstreamStandin::Crash()
+{
+  if (m_crashed) {
+    return;
+  }
+  m_crashed = true;
+  if (m_onCrash) {
+    m_onCrash();
+  }
+  m_activeWork.clear();
+  m_listener.Close();
+  m_connections.AbortAll();
+}
+
+void
+UpstreamStandin::TurnCold(base::Duration aFor)
+{
+  m_coldUntil = m_loop.Now() + aFor;
+}
+
+bool
+UpstreamStandin::IsCold() const
+{
+  return m_loop.Now() < m_coldUntil;
+}
+
+bool
+UpstreamStandin::ExceedsColdLimit()
+{
+  constexpr base::Duration kSecond(1000);
+  if (m_settings.coldLimit == 0 || !IsCold()) {
+    return false;
+  }
+  const auto now = m_loop.Now();
+  m_coldRequestTimes.push_back(now);
+  std::erase_if(m_coldRequestTimes,
+                [&](base::TimePoint aAt) { return now - aAt >= kSecond; });
+  return m_coldRequestTimes.size() > m_settings.coldLimit;
+}
+
+void
+UpstreamStandin::Tick()
+{
+  const auto now = m_loop.Now();
+  for (std::size_t i = 0; i < m_activeWork.size();) {
+    const bool due = now >= m_activeWork[i].nextAt;
+    if (due && Advance(m_activeWork[i])) {
+      auto work = m_activeWork[i];
+      m_activeWork.erase(m_activeWork.begin() + static_cast<std::ptrdiff_t>(i));
+      EndRun(work, false);
+    } else {
+      ++i;
+    }
+  }
+}
+
+bool
+UpstreamStandin::Advance(Work& aWork)
+{
+  aWork.nextAt += m_settings.workTime;
+  switch (aWork.fault) {
+    case UpstreamFault::Mute:
+      return false;
+    case UpstreamFault::Crash:
+      m_loop.Defer([this] { Crash(); });
+      return false;
+    case UpstreamFault::CloseUnanswered:
+      aWork.connection->Abort();
+      return true;
+    case UpstreamFault::Rubbish:
+      aWork.connection->BeginAnswer("rubbish\r\n", Framing::UntilClose);
+      aWork.connection->EndAnswer();
+      return true;
+    case UpstreamFault::Fail:
+      aWork.connection->BeginAnswer(
+        ResponseHead(aWork, 500), Framing::Length, 0);
+      aWork.connection->EndAnswer();
+      return true;
+    default:
+      return aWork.events > 0 ? AdvanceStream(aWork) : AdvancePlain(aWork);
+  }
+}
+
+bool
+UpstreamStandin::AdvancePlain(Work& aWork)
+{
+  auto& connection = *aWork.connection;
+  const auto body = AnswerText(aWork.run->requestId, 0);
+  const auto other = "HTTP/1.1 200 OK\r\nHemlockgauge-Attempt-Id: other\r\n"
+                     "Hemlockgauge-Response-Seal: x\r\nContent-Length: 5\r\n"
+                     "\r\nother";
+  if (aWork.fault == UpstreamFault::NoLength) {
+    connection.CloseAfterAnswer();
+    connection.BeginAnswer(ResponseHead(aWork, 200), Framing::UntilClose);
+    connection.Write(body);
+    connection.EndAnswer();
+    return true;
+  }
+  if (aWork.fault == UpstreamFault::BreakOff) {
+    connection.BeginAnswer(
+      ResponseHead(aWork, 200), Framing::Length, body.size() + 9);
+    connection.Write(body);
+    connection.Abort();
+    return true;
+  }
+  auto bytes = ResponseHead(aWork, 200);
+  http::AppendNumberField(bytes, "Content-Length", body.size());
+  if (aWork.fault == UpstreamFault::ForeignAnswer) {
+    bytes = other + bytes;
+  }
+  connection.BeginAnswer(bytes, Framing::UntilClose);
+  connection.Write(body);
+  if (aWork.fault == UpstreamFault::ExtraAnswer) {
+    connection.Write(other);
+  }
+  connection.EndAnswer();
+  return true;
+}
+
+bool
+UpstreamStandin::AdvanceStream(Work& aWork)
+{
+  auto& connection = *aWork.connection;
+  if (!aWork.headSent) {
+    aWork.headSent = true;
+    connection.BeginAnswer(ResponseHead(aWork, 200), Framing::Chunked);
+  }
+  const auto text = EventText(aWork.run->requestId, aWork.sent + 1);
+  const bool isHalfSent = aWork.sent >= aWork.events / 2;
+  if (aWork.fault == UpstreamFault::BreakOff && isHalfSent) {
+    connection.Write(text.substr(0, text.size() / 2));
+    connection.Abort();
+    return true;
+  }
+  if (aWork.sent < aWork.events) {
+    connection.Write(text);
+    aWork.sent++;
+  }
+  if (aWork.sent < aWork.events) {
+    return false;
+  }
+  connection.EndAnswer();
+  return true;
+}
+
+void
+UpstreamStandin::EndRun(Work& aWork, bool aCancelled)
+{
+  aWork.run->ended = true;
+  aWork.run->cancelled = aCancelled;
+  m_observer(*aWork.run);
+}
+
+void
+UpstreamStandin::OnBadRequest(http::ServerConnection& aConnection, http::Fault)
+{
+  SendResponse(aConnection, 400, "", "");
+}
+
+void
+UpstreamStandin::OnPeerGone(http::ServerConnection& aConnection)
+{
+  for (std::size_t i = 0; i < m_activeWork.size(); ++i) {
+    if (m_activeWork[i].connection == &aConnection) {
+      auto work = m_activeWork[i];
+      m_activeWork.erase(m_activeWork.begin() + static_cast<std::ptrdiff_t>(i));
+      EndRun(work, true);
+      return;
+    }
+  }
+}
+
+void
+UpstreamStandin::OnClosed(http::ServerConnection& aConnection)
+{
+  m_connections.Forget(aConnection);
+}
+
+}
--- /dev/null
+++ b/standins/upstreamstandin.h
@@ -0,0 +1,173 @@
+#pragma once
+
+#include "base/address.h"
+#include "base/basetypes.h"
+#include "base/enumnames.h"
+#include "http/connectionset.h"
+#include "http/listener.h"
+#include "http/serverconnection.h"
+
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace hemlockgauge::eventloop {
+class EventLoop;
+}
+
+namespace hemlockgauge::standins {
+
+//! The fault that an upstream injects into the handling of one request.
+enum class UpstreamFault : std::uint8_t
+{
+  None,
+  Shed,            //!< answers that it has not run the request
+  Fail,            //!< answers 500 after running the request
+  CloseUnanswered, //!< runs the request, closes without an answer
+  BreakOff,        //!< closes the connection within its answer
+  Mute,            //!< runs the request and never answers
+  ExtraAnswer,     //!< sends another request's answer after its own
+  ForeignAnswer,   //!< sends another request's answer before its own
+  NoLength,        //!< the answer ends when the connection closes
+  NoResponseSeal,  //!< a successful answer without Response-Seal
+  Rubbish,         //!< bytes that are not an HTTP response
+  Crash            //!< the upstream and all its connections end
+};
+inline constexpr auto kUpstreamFaultNames =
+  base::MakeEnumNames<UpstreamFault>("none",
+                                     "shed",
+                                     "fail",
+                                     "close-unanswered",
+                                     "break-off",
+                                     "mute",
+                                     "extra-answer",
+                                     "foreign-answer",
+                                     "no-length",
+                                     "no-proof",
+                                     "rubbish",
+                                     "crash");
+
+//! One execution of a request, as observed by the upstream.
+struct UpstreamRun
+{
+  std::string requestId;
+  std::string target;
+  std::string workspace;
+  std::string body;
+  std::string lastEventId;
+  std::int64_t deadlineMs = -1;
+  bool receivedCallerKey = false; //!< the router forwarded a caller's key
+  bool receivedRouterOnlyField =
+    false; //!< the router forwarded a router-only field
+  bool ended = false;
+  bool cancelled = false;
+};
+
+struct UpstreamStandinSettings
+{
+  std::string id = "i-1";
+  base::Address listen;
+  std::uint32_t slots = 8;
+  bool isEngine = false;
+  base::Duration workTime{ 5 }; //!< to the first byte, and per event
+  //! While cold, the upstream crashes if it receives more requests than this
+  //! within one second; 0: no limit.
+  std::uint32_t coldLimit = 0;
+};
+
+//! Test double of a model engine or a plain service of the platform.
+class UpstreamStandin : public http::IServerEvents
+{
+public:
+  using FaultSelector = std::function<UpstreamFault(const UpstreamRun& aRun)>;
+  using Observer = std::function<void(const UpstreamRun& aRun)>;
+
+  UpstreamStandin(eventloop::EventLoop& aLoop,
+                  const UpstreamStandinSettings& aSettings);
+  ~UpstreamStandin() override;
+
+  //! aSelector chooses the fault of each request, before the request runs.
+  void SetFaultSelector(FaultSelector aSelector)
+  {
+    m_faultSelector = std::move(aSelector);
+  }
+  //! aObserver is called when a run begins and when it ends.
+  void SetObserver(Observer aObserver) { m_observer = std::move(aObserver); }
+  const std::vector<std::unique_ptr<UpstreamRun>>& Runs() const
+  {
+    return m_runs;
+  }
+  std::size_t Connections() const { return m_connections.Size(); }
+  //! Simulates a process crash: aborts all connections and closes the listener.
+  void Crash();
+  //! aOnCrash is called by Crash(), before any connection is aborted.
+  void SetOnCrash(std::function<void()> aOnCrash)
+  {
+    m_onCrash = std::move(aOnCrash);
+  }
+  bool HasCrashed() const { return m_crashed; }
+  void TurnCold(base::Duration aFor);
+  bool IsCold() const;
+
+  //! Returns the data of event aEvent (from 1) of a stream, or the body of a
+  //! plain answer (aEvent is 0).
+  static std::string AnswerText(const std::string& aRequestId, int aEvent);
+
+  void OnRequest(http::ServerConnection& aConnection,
+                 http::RequestHead&& aHead,
+                 std::string&& aBody) override;
+  void OnBadRequest(http::ServerConnection& aConnection,
+                    http::Fault aFault) override;
+  void OnPeerGone(http::ServerConnection& aConnection) override;
+  void OnDrained(http::ServerConnection&) override {}
+  void OnClosed(http::ServerConnection& aConnection) override;
+
+  int instanceMismatches = 0; //!< requests that expected another instance
+
+private:
+  struct Work
+  {
+    http::ServerConnection* connection = nullptr;
+    UpstreamRun* run = nullptr;
+    UpstreamFault fault = UpstreamFault::None;
+    base::TimePoint nextAt{};
+    int events = 0; //!< number of events to stream; 0: plain answer
+    int sent = 0;   //!< number of the last event sent
+    bool headSent = false;
+  };
+
+  void Tick();
+  //! Counts a request; returns true if it exceeds
+  //! UpstreamStandinSettings::coldLimit.
+  bool ExceedsColdLimit();
+  //! Performs the next step of a run; returns true when the run has ended.
+  bool Advance(Work& aWork);
+  bool AdvancePlain(Work& aWork);
+  bool AdvanceStream(Work& aWork);
+  void SendResponse(http::ServerConnection& aConnection,
+                    int aStatus,
+                    const std::string& aExtraHead,
+                    const std::string& aBody);
+  std::string ResponseHead(const Work& aWork, int aStatus) const;
+  void EndRun(Work& aWork, bool aCancelled);
+
+  eventloop::EventLoop& m_loop;
+  UpstreamStandinSettings m_settings;
+  FaultSelector m_faultSelector;
+  Observer m_observer;
+  std::function<void()> m_onCrash;
+  base::CallerLimits m_limits;
+  std::vector<std::unique_ptr<UpstreamRun>> m_runs;
+  std::vector<Work> m_activeWork;
+  http::ConnectionSet m_connections;
+  http::Listener m_listener;
+  bool m_crashed = false;
+  base::TimePoint m_coldUntil{ base::TimePoint::min() / 2 };
+  std::deque<base::TimePoint> m_coldRequestTimes; //!< within the last second
+};
+
+}
