--- a/src/fleet/admission.h
+++ b/src/fleet/admission.h
@@ -18,7 +18,8 @@
   Duration timeLeft{}; //!< until its deadline or the route's timeout
   bool insideShare = true; //!< its workspace is within its fair share
   //! The workspace is above its share of what the engines can process, but
-  //! within its share of the nominal capacity, FleetConfig::tokensPerSecond.
+  //! within its share of the nominal capacity,
+  //! FleetConfig::nominalTokensPerSecond.
   bool insideNominalShare = false;
   //! Others wait, and the workspace gets less than the fraction kStarvedRatio
   //! of what it asks for and of what the best served workspace gets.
